--- a/hornbeamdeck/connection/__init__.py
+++ b/hornbeamdeck/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one connection."""
+"""Sockets, HTTP and peer connections, and the clients built on them."""
--- a/hornbeamdeck/connection/address.py
+++ b/hornbeamdeck/connection/address.py
@@ -1,4 +1,4 @@
-"""Addresses by IP number and port, and sockets made from them."""
+"""IP addresses with a port, and the sockets opened for them."""
 
 import ipaddress
 from functools import lru_cache
@@ -14,11 +14,11 @@
 __all__ = ('Address', 'async_connect', 'listen')
 
 
-CACHED_ADDRESSES: Final = 4096
+MAX_CACHED_ADDRESSES: Final = 4096
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -27,18 +27,18 @@
     def from_text(cls, text: str) -> Self:
         """Parse `ip:port`.
 
-        :raises ValueError: where the text is not an IP number and a port.
+        :raises ValueError: if the text is not an IP address and a port.
         """
         return cls(*_parse(text))
 
     def __str__(self) -> str:
-        """Write `ip:port`."""
+        """Return `ip:port`, with an IPv6 address in brackets."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
 
-# Each list of engines and each grant repeats the same few hundred addresses.
-@lru_cache(maxsize=CACHED_ADDRESSES)
+# Engine lists and grants repeat the same few hundred addresses.
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _parse(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(':')
     host = host.strip('[]')
@@ -56,9 +56,10 @@
     *,
     timeout_ms: int,
 ) -> Result[socket.socket, ConnectFailed]:
-    """Open a TCP connection; no byte has been written when this fails.
+    """Open a TCP connection.
 
-    :param timeout_ms: longest wait for the handshake, milliseconds.
+    :param timeout_ms: time limit for the TCP handshake, milliseconds.
+    :returns: the socket, or an error; after an error no byte was written.
     """
     sock = _new_socket(address)
     try:
@@ -77,9 +78,9 @@
 
 
 def listen(address: Address, *, backlog: int = 512) -> socket.socket:
-    """Open a listening socket; port 0 lets the system choose one.
+    """Open a listening socket; port 0 lets the system choose a port.
 
-    :raises OSError: where the address can't be bound.
+    :raises OSError: if the address can't be bound.
     """
     sock = _new_socket(address)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -89,6 +90,6 @@
 
 
 def bound_address(sock: socket.socket) -> Address:
-    """Tell the address that a listening socket got."""
+    """Return the address that a listening socket is bound to."""
     host, port = sock.getsockname()[:2]
     return Address(host, port)
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -1,4 +1,4 @@
-"""The calling side of one HTTP connection."""
+"""The client side of an HTTP connection."""
 
 import select
 from typing import Final, Self
@@ -22,15 +22,18 @@
 __all__ = ('ClientConnection', 'async_fetch_once')
 
 MAX_HEADER_BYTES: Final = 65_536
-MAX_WHOLE_BODY_BYTES: Final = 16_777_216
+MAX_BODY_BYTES: Final = 16_777_216
 READ_BYTES: Final = 65_536
 
 
 class ClientConnection:
-    """Sends requests on one connection and reads their responses."""
+    """Sends requests on one connection and reads the responses."""
 
     def __init__(self, sock: socket.socket, address: Address) -> None:
-        """Take a connected socket."""
+        """Use a connected socket.
+
+        :param address: of the server; it is also sent as the Host header.
+        """
         self._sock = sock
         self._address = address
         self._protocol = h11.Connection(
@@ -46,11 +49,14 @@
         timeout_ms: int,
         unheard_ms: int = 0,
     ) -> Result[Self, ConnectFailed]:
-        """Connect; on an error no byte has been written.
-
-        :param timeout_ms: longest wait for the handshake, milliseconds.
-        :param unheard_ms: what was written and is not acknowledged after this
-            breaks the connection; 0: after the system's many minutes.
+        """Open a connection.
+
+        :param timeout_ms: time limit for the TCP handshake, milliseconds.
+        :param unheard_ms: the connection breaks when written bytes stay
+            unacknowledged for longer than this, milliseconds; 0: the default
+            of the operating system, which is many minutes.
+        :returns: the connection, or an error; after an error no byte was
+            written.
         """
         connected = await async_connect(address, timeout_ms=timeout_ms)
         if unheard_ms and isinstance(connected, Ok):
@@ -63,15 +69,15 @@
 
     @property
     def address(self) -> Address:
-        """Where this connection leads."""
+        """The address of the server."""
         return self._address
 
     @property
     def may_reuse(self) -> bool:
-        """Whether another request can go out on this connection.
+        """Whether another request can be sent on this connection.
 
-        Bytes after a whole answer belong to no request; the connection that
-        brought them is done.
+        Bytes received after a complete response belong to no request, so a
+        connection that has received any must not be used again.
         """
         return (
             self._protocol.our_state is h11.DONE
@@ -79,8 +85,8 @@
             and not any(self._protocol.trailing_data)
         )
 
-    def is_quiet(self) -> bool:
-        """Whether nothing has come since the last answer, not even an end."""
+    def has_no_pending_input(self) -> bool:
+        """Whether nothing arrived after the last response, not even a close."""
         poll = select.poll()
         poll.register(self._sock.fileno(), select.POLLIN)
         return not poll.poll(0)
@@ -89,7 +95,7 @@
         self,
         request: HttpRequest,
     ) -> Result[None, ConnectionBroken]:
-        """Write a whole request."""
+        """Write a complete request."""
         if self._protocol.our_state is h11.DONE:
             self._protocol.start_next_cycle()
         headers = {
@@ -101,7 +107,7 @@
         if request.query:
             target = f'{target}?{request.query}'
         try:
-            encoded = self._encode(request.method, target, headers)
+            encoded = self._encode_head(request.method, target, headers)
             encoded += self._protocol.send(h11.Data(data=request.body)) or b''
             encoded += self._protocol.send(h11.EndOfMessage()) or b''
             await self._sock.sendall(encoded)
@@ -110,32 +116,35 @@
         return Ok(None)
 
     async def async_read_head(self) -> Result[HttpResponse, ConnectionBroken]:
-        """Read the head of the response; its body is still empty."""
+        """Read status and headers of the response; its body is empty."""
         while True:
-            event = await self._async_next()
+            event = await self._async_next_event()
             if isinstance(event, Err):
                 return event
             if isinstance(event.ok_value, h11.Response):
-                return Ok(_to_head(event.ok_value))
+                return Ok(_to_response(event.ok_value))
             if not isinstance(event.ok_value, h11.InformationalResponse):
-                return Err(ConnectionBroken('no response before the end'))
+                return Err(ConnectionBroken('closed before the response head'))
 
     async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
-        """Read a piece of the body; an empty one is its proper end."""
-        event = await self._async_next()
+        """Read the next piece of the body.
+
+        :returns: the bytes, empty at the end of a complete body.
+        """
+        event = await self._async_next_event()
         if isinstance(event, Err):
             return event
         if isinstance(event.ok_value, h11.Data):
             return Ok(bytes(event.ok_value.data))
         if isinstance(event.ok_value, h11.EndOfMessage):
             return Ok(b'')
-        return Err(ConnectionBroken('closed inside a body'))
+        return Err(ConnectionBroken('closed before the end of the body'))
 
     async def async_fetch(
         self,
         request: HttpRequest,
     ) -> Result[HttpResponse, ConnectionBroken]:
-        """Send a request and read its whole response."""
+        """Send a request and read the complete response."""
         sent = await self.async_send(request)
         if isinstance(sent, Err):
             return sent
@@ -143,10 +152,10 @@
         if isinstance(head, Err):
             return head
         body = await self.async_read_body()
-        return body.map(lambda whole: head.ok_value._replace(body=whole))
+        return body.map(lambda read: head.ok_value._replace(body=read))
 
     async def async_read_body(self) -> Result[bytes, ConnectionBroken]:
-        """Read the rest of a body."""
+        """Read the rest of the body."""
         body = bytearray()
         while True:
             piece = await self.async_read_piece()
@@ -155,14 +164,14 @@
             if not piece.ok_value:
                 return Ok(bytes(body))
             body += piece.ok_value
-            if len(body) > MAX_WHOLE_BODY_BYTES:
-                return Err(ConnectionBroken('the body is too large'))
+            if len(body) > MAX_BODY_BYTES:
+                return Err(ConnectionBroken('the response body is too large'))
 
     async def async_close(self) -> None:
-        """Close; an upstream sees a run that has not ended as cancelled."""
+        """Close; the upstream treats an unfinished run as cancelled."""
         await self._sock.close()
 
-    def _encode(self, method: str, target: str, headers: Headers) -> bytes:
+    def _encode_head(self, method: str, target: str, headers: Headers) -> bytes:
         event = h11.Request(
             method=method,
             target=target,
@@ -170,14 +179,14 @@
         )
         return self._protocol.send(event) or b''
 
-    async def _async_next(self) -> Result[h11.Event, ConnectionBroken]:
+    async def _async_next_event(self) -> Result[h11.Event, ConnectionBroken]:
         try:
             while True:
                 event = self._protocol.next_event()
                 if isinstance(event, h11.Event):
                     return Ok(event)
                 if event is h11.PAUSED:
-                    return Err(ConnectionBroken('nothing more was asked'))
+                    return Err(ConnectionBroken('no request is in progress'))
                 self._protocol.receive_data(await self._sock.recv(READ_BYTES))
         except (OSError, h11.RemoteProtocolError) as error:
             return Err(ConnectionBroken(repr(error)))
@@ -189,9 +198,10 @@
     *,
     timeout_ms: int,
 ) -> Result[HttpResponse, ConnectFailed | ConnectionBroken]:
-    """Make one call on a connection of its own.
+    """Open a connection, make one call and close the connection.
 
-    :param timeout_ms: for connecting and for the answer, each, milliseconds.
+    :param timeout_ms: time limit for connecting and, separately, for the
+        response, milliseconds.
     """
     opened = await ClientConnection.async_open(address, timeout_ms=timeout_ms)
     if isinstance(opened, Err):
@@ -202,11 +212,11 @@
             opened.ok_value.async_fetch(request),
         )
     except TaskTimeout:
-        return Err(ConnectionBroken('no answer in time'))
+        return Err(ConnectionBroken('no response within the time limit'))
     finally:
         await opened.ok_value.async_close()
 
 
-def _to_head(event: h11.Response) -> HttpResponse:
+def _to_response(event: h11.Response) -> HttpResponse:
     headers = join_headers(event.headers)
     return HttpResponse(event.status_code, headers, b'')
--- a/hornbeamdeck/connection/engine_stream.py
+++ b/hornbeamdeck/connection/engine_stream.py
@@ -1,9 +1,10 @@
-"""A stream from an engine that can be resumed on that engine.
+"""Response streams that can be resumed on the engine that sends them.
 
-An engine that resumes names the stream in its answer's head. When the
-connection breaks, the rest is asked for on a new one, from the first byte not
-received; the run itself goes on meanwhile, so this dispatches nothing anew.
-Closing the connection no longer cancels such a run, so that is asked for too.
+An engine that supports this gives the stream an id in the response head. When
+the connection breaks, the rest is requested on a new connection, starting at
+the first byte not received. The run continues meanwhile, so resuming is not
+another attempt. Closing the connection does not cancel such a run; a separate
+request does.
 """
 
 from http import HTTPStatus
@@ -25,32 +26,36 @@
 
 HEADER_RESUMABLE: Final = 'hornbeamdeck-resumable'
 HEADER_STREAM: Final = 'hornbeamdeck-stream'
-PATH: Final = '/v1/streams'
-TRY_AFTER_S: Final = (0.02, 0.1, 0.3)
+STREAMS_PATH: Final = '/v1/streams'
+RESUME_DELAYS_S: Final = (0.02, 0.1, 0.3)
 CONNECT_TIMEOUT_MS: Final = 500
-ANSWER_TIMEOUT_MS: Final = 2000
+RESPONSE_TIMEOUT_MS: Final = 2000
 
 
 class EngineStream:
-    """Reads a stream piece by piece, over as many connections as it takes."""
+    """Reads a stream and resumes it on a new connection when one breaks."""
 
     def __init__(
         self,
         connection: ClientConnection,
         head: HttpResponse,
     ) -> None:
-        """Begin after the head of the answer.
+        """Start after the head of the response.
 
-        :param head: names the stream where the engine can resume it.
+        :param connection: on which the body follows.
+        :param head: holds the stream id if the engine can resume the stream.
         """
         self._connection = connection
-        self._stream = head.headers.get(HEADER_STREAM, '')
+        self._stream_id = head.headers.get(HEADER_STREAM, '')
         self._received_bytes = 0
 
     async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
-        """Read a piece; an empty one is the proper end."""
+        """Read the next piece.
+
+        :returns: the bytes, empty at the end of a complete stream.
+        """
         piece = await self._connection.async_read_piece()
-        if isinstance(piece, Err) and self._stream:
+        if isinstance(piece, Err) and self._stream_id:
             resumed = await self._async_resume()
             if isinstance(resumed, Err):
                 return resumed
@@ -60,34 +65,37 @@
         return piece
 
     async def async_cancel(self) -> None:
-        """Have the engine end a run whose answer nobody waits for."""
-        if self._stream:
-            await spawn(self._async_cancel, daemon=True)
+        """Cancel a resumable run on the engine, in the background.
+
+        Closing the connection cancels only a run that can't be resumed.
+        """
+        if self._stream_id:
+            await spawn(self._async_send_cancel, daemon=True)
 
     async def async_close(self) -> None:
-        """Close the connection in use."""
+        """Close the current connection."""
         await self._connection.async_close()
 
     async def _async_resume(self) -> Result[None, ConnectionBroken]:
         await self._connection.async_close()
-        for wait_s in TRY_AFTER_S:
-            await sleep(wait_s)
-            again = await self._async_ask(
+        for delay_s in RESUME_DELAYS_S:
+            await sleep(delay_s)
+            opened = await self._async_request(
                 'GET',
                 f'after={self._received_bytes}',
             )
-            if isinstance(again, Ok):
-                self._connection = again.ok_value
-                _LOGGER.info('stream resumed', stream=self._stream)
+            if isinstance(opened, Ok):
+                self._connection = opened.ok_value
+                _LOGGER.info('stream resumed', stream=self._stream_id)
                 return Ok(None)
-        return Err(ConnectionBroken('the stream could not be resumed'))
+        return Err(ConnectionBroken('resuming the stream failed'))
 
-    async def _async_cancel(self) -> None:
-        asked = await self._async_ask('DELETE', '')
-        if isinstance(asked, Ok):
-            await asked.ok_value.async_close()
+    async def _async_send_cancel(self) -> None:
+        opened = await self._async_request('DELETE', '')
+        if isinstance(opened, Ok):
+            await opened.ok_value.async_close()
 
-    async def _async_ask(
+    async def _async_request(
         self,
         method: str,
         query: str,
@@ -99,24 +107,24 @@
         if isinstance(opened, Err):
             return Err(ConnectionBroken(opened.err_value.cause))
         connection = opened.ok_value
-        path = f'{PATH}/{self._stream}'
+        path = f'{STREAMS_PATH}/{self._stream_id}'
         is_accepted = False
         try:
             is_accepted = await async_within(
-                ANSWER_TIMEOUT_MS,
+                RESPONSE_TIMEOUT_MS,
                 _async_is_accepted(
                     connection,
                     HttpRequest(method, path, query, {}, b''),
                 ),
             )
         except TaskTimeout:
-            return Err(ConnectionBroken('no answer in time'))
+            return Err(ConnectionBroken('no response within the time limit'))
         finally:
             if not is_accepted:
                 await connection.async_close()
         if is_accepted:
             return Ok(connection)
-        return Err(ConnectionBroken('the engine does not know the stream'))
+        return Err(ConnectionBroken('the stream request was not accepted'))
 
 
 async def _async_is_accepted(
--- a/hornbeamdeck/connection/errors.py
+++ b/hornbeamdeck/connection/errors.py
@@ -12,24 +12,24 @@
 
 
 class ConnectFailed(NamedTuple):
-    """A connection was not made, so no byte was written."""
+    """Connecting failed, so no byte was written."""
 
     address: str
     cause: str
 
 
 class ConnectionBroken(NamedTuple):
-    """An open connection failed, or its peer broke the protocol."""
+    """An open connection failed, or the other side violated the protocol."""
 
     cause: str
 
 
 class PeerClosed(NamedTuple):
-    """The peer closed between two messages, as it may."""
+    """The other side closed between two messages, which is allowed."""
 
 
 class BadRequest(NamedTuple):
-    """A request that can't be read, with the status that says why."""
+    """A request that can't be read, and the HTTP status to respond with."""
 
     status: int
     detail: str
--- a/hornbeamdeck/connection/exchange.py
+++ b/hornbeamdeck/connection/exchange.py
@@ -1,4 +1,4 @@
-"""Serves the requests of one connection, one after another."""
+"""Serves the requests of one connection in sequence."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeAlias
@@ -19,53 +19,65 @@
 
 async def async_serve_requests(
     sock: socket.socket,
-    answer: Answer,
-    refusal: Refusal,
+    handle_request: Answer,
+    to_error_response: Refusal,
     limits: ReadLimits | None = None,
 ) -> None:
-    """Read requests until the caller leaves or one can't be answered.
+    """Serve requests until the caller closes or the connection must close.
 
-    :param answer: writes the whole response to a request.
-    :param refusal: makes the response to a request that can't be read.
-    :param limits: what the caller may cost.
+    :param handle_request: writes the complete response to a request.
+    :param to_error_response: builds the response to a request that can't be
+        read.
+    :param limits: size and time limits for the caller's requests.
     """
     connection = ServerConnection(sock, limits)
     while True:
         request = await connection.async_read_request()
         if isinstance(request, Err):
-            await _async_refuse(connection, request.err_value, refusal)
+            await _async_handle_read_error(
+                connection, request.err_value, to_error_response
+            )
             return
-        await _async_answer(connection, request.ok_value, answer)
+        await _async_handle(connection, request.ok_value, handle_request)
         if not connection.may_reuse:
             return
         connection.start_next()
 
 
-async def _async_refuse(
+async def _async_handle_read_error(
     connection: ServerConnection,
     error: ReadError,
-    refusal: Refusal,
+    to_error_response: Refusal,
 ) -> None:
     if isinstance(error, BadRequest):
-        await connection.async_respond(refusal(error))
+        await connection.async_respond(to_error_response(error))
         await connection.async_linger()
 
 
-async def _async_answer(
+async def _async_handle(
     connection: ServerConnection,
     request: HttpRequest,
-    answer: Answer,
+    handle_request: Answer,
 ) -> None:
-    # A caller that has left would otherwise keep its place in the queue and
-    # its run on an engine; the watch cancels this task, and with it the run.
-    serving = await current_task()
-    watch = await spawn(_async_watch, connection, serving, daemon=True)
+    # A request whose caller has disconnected would otherwise stay in the wait
+    # queue or keep its run on an engine. The watcher cancels this task when
+    # the caller disconnects, and that cancels the run.
+    serving_task = await current_task()
+    watcher = await spawn(
+        _async_cancel_on_close,
+        connection,
+        serving_task,
+        daemon=True,
+    )
     try:
-        await answer(request, connection)
+        await handle_request(request, connection)
     finally:
-        await watch.cancel()
+        await watcher.cancel()
 
 
-async def _async_watch(connection: ServerConnection, serving: Task) -> None:
+async def _async_cancel_on_close(
+    connection: ServerConnection,
+    serving_task: Task,
+) -> None:
     await connection.async_wait_closed()
-    await serving.cancel(blocking=False)
+    await serving_task.cancel(blocking=False)
--- a/hornbeamdeck/connection/http.py
+++ b/hornbeamdeck/connection/http.py
@@ -1,4 +1,4 @@
-"""HTTP messages, the same on the caller's and the upstream's side."""
+"""HTTP messages, used both towards callers and towards upstreams."""
 
 from collections.abc import Iterable, Mapping
 from typing import Final, NamedTuple, TypeAlias
@@ -20,9 +20,9 @@
 
 
 class HttpRequest(NamedTuple):
-    """A request whose body has been read whole.
+    """A request with its complete body.
 
-    :param headers: by name in lower case.
+    :param headers: by lower-case name.
     """
 
     method: str
@@ -33,7 +33,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A whole response, or its head with the body still empty."""
+    """A complete response, or a response head with an empty body."""
 
     status: int
     headers: Headers
@@ -41,32 +41,33 @@
 
 
 def join_headers(pairs: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Join fields that came more than once (RFC 9110, 5.3).
+    """Join header fields that occur more than once (RFC 9110, 5.3).
 
-    Set-Cookie alone can't be joined by a comma; a line feed, which no field
-    may hold, keeps its fields apart until they are written again.
+    Set-Cookie is the only field that can't be joined by a comma. It is joined
+    by a line feed, which no field may contain, and split again when written.
     """
-    parts: dict[str, list[str]] = {}
+    fields: dict[str, list[str]] = {}
     for raw_name, raw_text in pairs:
-        fields = parts.setdefault(raw_name.decode('ascii'), [])
-        fields.append(raw_text.decode(CHARSET))
+        texts = fields.setdefault(raw_name.decode('ascii'), [])
+        texts.append(raw_text.decode(CHARSET))
     return {
-        name: _separator(name).join(fields) for name, fields in parts.items()
+        name: _field_separator(name).join(texts)
+        for name, texts in fields.items()
     }
 
 
 def header_pairs(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Give headers in the form that h11 takes."""
+    """Convert headers to the form that h11 expects."""
     return [
         (name.encode('ascii'), part.encode(CHARSET))
         for name, text in headers.items()
-        for part in _parts(name, text)
+        for part in _split_cookies(name, text)
     ]
 
 
-def _separator(name: str) -> str:
+def _field_separator(name: str) -> str:
     return COOKIE_SEPARATOR if name == SET_COOKIE else FIELD_SEPARATOR
 
 
-def _parts(name: str, text: str) -> list[str]:
+def _split_cookies(name: str, text: str) -> list[str]:
     return text.split(COOKIE_SEPARATOR) if name == SET_COOKIE else [text]
--- a/hornbeamdeck/connection/kept.py
+++ b/hornbeamdeck/connection/kept.py
@@ -1,4 +1,4 @@
-"""Connections to engines that are kept open from one request to the next."""
+"""Pool of idle connections to engines, reused for later requests."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,54 +11,58 @@
 
 __all__ = ('KeptConnections', 'kept_for_ms')
 
-# Part of the time that an engine says it keeps an idle connection open; the
-# rest is for a request that is on its way when that time is over.
-KEPT_SHARE: Final = 0.8
-# Kept at one engine by all instances together: an engine accepts a few hundred
-# connections (208 at least on users' sheets) and resets what is beyond; two
-# thirds are left for new ones.
-KEPT_AT_ENGINE: Final = 64
+# Share of an engine's announced keep-alive time in which a connection is
+# reused. The rest covers a request that is in transit when that time ends.
+KEEP_ALIVE_SHARE: Final = 0.8
+# Idle connections to one engine from all instances together. An engine accepts
+# a few hundred connections (at least 208 on users' data sheets) and resets any
+# beyond that; two thirds of them stay free for new connections.
+MAX_IDLE_AT_ENGINE: Final = 64
 KEEP_ALIVE: Final = 'keep-alive'
 TIMEOUT_PREFIX: Final = 'timeout='
 
 
-class _Kept(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: ClientConnection
-    until_ms: float
+    expires_ms: float
 
 
 class KeptConnections:
-    """Idle connections by engine, the last used first.
+    """Keeps idle connections by engine; the last used is taken first.
 
-    What goes wrong: an idle connection may die unseen, or a late answer to an
-    earlier request may lie in it. So only what may run twice goes out on one,
-    one that shows any byte or its end is not used, and a failure on one costs
-    all others to its engine.
+    An idle connection may break without notice, or hold a late response to an
+    earlier request. Therefore only requests that may run twice are sent on an
+    idle connection, a connection with unread bytes or closed by the engine is
+    not used, and when one fails, all others to that engine are closed.
 
-    Opening a connection takes a round trip and a millisecond of the engine. Of
-    3,000 requests in a day of high load 1,300 open one, 3,000 without this.
+    Opening a connection takes a round trip and a millisecond of the engine's
+    time. In a day of high load, 1,300 of 3,000 requests open a connection;
+    without the pool all 3,000 do.
     """
 
     def __init__(self, count_instances: Callable[[], int]) -> None:
-        """Keep none yet.
+        """Start with an empty pool.
 
-        :param count_instances: tells how many instances share the engines.
+        :param count_instances: returns how many instances share the engines.
         """
         self._count_instances = count_instances
-        self._kept: dict[str, deque[_Kept]] = {}
+        self._idle: dict[str, deque[_IdleConnection]] = {}
 
     def __len__(self) -> int:
-        """Count the connections kept."""
-        return sum(map(len, self._kept.values()))
+        """Count the idle connections."""
+        return sum(map(len, self._idle.values()))
 
     async def async_take(self, engine: str) -> ClientConnection | None:
-        """Give a connection to an engine that can be used, if there is one."""
-        kept = self._kept.get(engine)
-        while kept:
-            found = kept.pop()
-            if found.until_ms > now_ms() and found.connection.is_quiet():
-                return found.connection
-            await found.connection.async_close()
+        """Take a usable idle connection to an engine, or `None`."""
+        idle = self._idle.get(engine)
+        while idle:
+            last = idle.pop()
+            if (
+                last.expires_ms > now_ms()
+                and last.connection.has_no_pending_input()
+            ):
+                return last.connection
+            await last.connection.async_close()
         return None
 
     async def async_keep(
@@ -67,39 +71,42 @@
         connection: ClientConnection,
         idle_ms: float,
     ) -> None:
-        """Keep a connection on which an answer has ended, or close it.
+        """Return a connection to the pool after a response, or close it.
 
-        :param idle_ms: how long it may be used from now.
+        It is closed when it can't be reused or the pool is full.
+
+        :param idle_ms: how long it may stay idle, milliseconds; 0: not at all.
         """
-        await self._async_close_old()
-        kept = self._kept.setdefault(engine, deque())
-        most = KEPT_AT_ENGINE // max(self._count_instances(), 1)
-        if idle_ms <= 0 or len(kept) >= most or not connection.may_reuse:
+        await self._async_close_expired()
+        idle = self._idle.setdefault(engine, deque())
+        max_idle = MAX_IDLE_AT_ENGINE // max(self._count_instances(), 1)
+        if idle_ms <= 0 or len(idle) >= max_idle or not connection.may_reuse:
             await connection.async_close()
             return
-        kept.append(_Kept(connection, now_ms() + idle_ms))
+        idle.append(_IdleConnection(connection, now_ms() + idle_ms))
 
     async def async_drop(self, engine: str) -> None:
-        """Close all connections to an engine on which one has failed."""
-        for kept in self._kept.pop(engine, ()):
-            await kept.connection.async_close()
+        """Close all idle connections to an engine after one of them failed."""
+        for idle in self._idle.pop(engine, ()):
+            await idle.connection.async_close()
 
-    async def _async_close_old(self) -> None:
-        for engine, kept in tuple(self._kept.items()):
-            while kept and kept[0].until_ms < now_ms():
-                await kept.popleft().connection.async_close()
-            if not kept:
-                self._kept.pop(engine, None)
+    async def _async_close_expired(self) -> None:
+        for engine, idle in tuple(self._idle.items()):
+            while idle and idle[0].expires_ms < now_ms():
+                await idle.popleft().connection.async_close()
+            if not idle:
+                self._idle.pop(engine, None)
 
 
 def kept_for_ms(headers: Headers) -> float:
-    """Tell how long a connection may be kept after an answer; 0: not at all.
+    """Return how long a connection may stay idle after a response.
 
-    :param headers: of the answer. An engine that announces no time may close
-        at any moment.
+    :param headers: of the response. An engine that announces no keep-alive
+        time may close the connection at any moment.
+    :returns: milliseconds; 0: the connection must not be reused.
     """
     for field in headers.get(KEEP_ALIVE, '').split(','):
         _, found, seconds = field.strip().partition(TIMEOUT_PREFIX)
         if found and seconds.isdigit():
-            return int(seconds) * MILLIS_PER_SECOND * KEPT_SHARE
+            return int(seconds) * MILLIS_PER_SECOND * KEEP_ALIVE_SHARE
     return 0
--- a/hornbeamdeck/connection/listener.py
+++ b/hornbeamdeck/connection/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections, one task for each."""
+"""Accepts connections and serves each in its own task."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, TypeAlias
@@ -17,7 +17,12 @@
 
 
 class Listener(NamedTuple):
-    """An open listening address and what closes it."""
+    """A listening address and the functions that close it.
+
+    :param async_stop_accepting: closes the listening socket; open connections
+        stay open.
+    :param async_unload: also cancels the tasks of open connections.
+    """
 
     address: Address
     async_stop_accepting: Unload
@@ -28,37 +33,40 @@
     address: Address,
     serve_connection: ServeConnection,
 ) -> Listener:
-    """Listen, and give each accepted connection a task of its own.
+    """Listen and serve each accepted connection in its own task.
 
-    :raises OSError: where the address can't be bound.
+    :raises OSError: if the address can't be bound.
     """
     sock = listen(address)
     tasks: set[Task] = set()
 
-    async def _async_serve(client: socket.socket, slot: list[Task]) -> None:
-        # An error that escapes one connection must not end the others: the
-        # caller sees its connection broken, the log says where.
+    async def _async_serve(
+        client: socket.socket,
+        own_task: list[Task],
+    ) -> None:
+        # An unexpected error in one connection must not end the others. The
+        # caller sees its connection close; the log holds the traceback.
         try:
             async with client:
                 await serve_connection(client)
         except Exception:
             _LOGGER.exception('connection failed')
         finally:
-            tasks.discard(slot[0])
+            tasks.discard(own_task[0])
 
     async def _async_accept() -> None:
         while True:
             client, _ = await sock.accept()
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            slot: list[Task] = []
-            task = await spawn(_async_serve, client, slot, daemon=True)
-            slot.append(task)
+            own_task: list[Task] = []
+            task = await spawn(_async_serve, client, own_task, daemon=True)
+            own_task.append(task)
             tasks.add(task)
 
-    accepting = await spawn(_async_accept, daemon=True)
+    accept_task = await spawn(_async_accept, daemon=True)
 
     async def _async_stop_accepting() -> None:
-        await accepting.cancel()
+        await accept_task.cancel()
         await sock.close()
 
     async def _async_unload() -> None:
--- a/hornbeamdeck/connection/peer.py
+++ b/hornbeamdeck/connection/peer.py
@@ -1,4 +1,4 @@
-"""A connection between two instances: handshake and framed messages."""
+"""Connections between two instances: handshake and framed messages."""
 
 import hashlib
 import hmac
@@ -37,11 +37,12 @@
 
 
 class PeerIdentity(NamedTuple):
-    """Who this process is to its peers.
+    """Identity of this process towards its peers.
 
-    :param version: tells the configuration version in force.
-    :param clock: stamps what is sent, and follows what is received.
-    :param count_bytes: told of bytes that passed, with their direction.
+    :param version: returns the configuration version in force.
+    :param count_bytes: called with the direction (`sent` or `received`) and
+        the number of bytes.
+    :param clock: stamps sent messages and observes the received stamps.
     """
 
     instance_id: str
@@ -52,15 +53,15 @@
 
 
 class PeerConnection:
-    """Sends and receives messages; a task of its own writes.
+    """Sends and receives messages; a separate task writes to the socket.
 
-    The writer is apart from the tasks that send, since one of those may be
-    cancelled (its caller left) in the middle of a frame, and the peer would
-    take the rest of the stream for garbage.
+    A task that sends may be cancelled in the middle of a frame, for instance
+    when its caller disconnects. The peer could then read nothing that follows.
+    Such a task therefore only queues its messages.
     """
 
     def __init__(self, sock: socket.socket, identity: PeerIdentity) -> None:
-        """Take a connected socket; no byte has passed yet."""
+        """Use a connected socket on which no byte was sent or received."""
         self.peer_id = ''
         self._max_frame_bytes = MAX_HANDSHAKE_BYTES
         self._sock = sock
@@ -74,7 +75,7 @@
         address: Address,
         identity: PeerIdentity,
     ) -> Result[Self, PeerError]:
-        """Connect to a peer and prove to each other who both are."""
+        """Connect to a peer and authenticate both sides."""
         connected = await async_connect(
             address,
             timeout_ms=HANDSHAKE_TIMEOUT_MS,
@@ -82,10 +83,10 @@
         if isinstance(connected, Err):
             return connected
         connection = cls(connected.ok_value, identity)
-        proved = await connection.async_handshake(is_caller=True)
-        if isinstance(proved, Err):
+        authenticated = await connection.async_handshake(is_caller=True)
+        if isinstance(authenticated, Err):
             await connection.async_close()
-            return proved
+            return authenticated
         return Ok(connection)
 
     async def async_handshake(
@@ -93,31 +94,38 @@
         *,
         is_caller: bool,
     ) -> Result[None, ConnectionBroken]:
-        """Prove knowledge of the fleet secret, each with a fresh nonce."""
+        """Authenticate both sides with the fleet secret and fresh nonces.
+
+        :param is_caller: whether this side opened the connection.
+        """
         try:
             return await async_within(
                 HANDSHAKE_TIMEOUT_MS,
-                self._async_handshake(is_caller),
+                self._async_exchange_proofs(is_caller),
             )
         except TaskTimeout:
-            return Err(ConnectionBroken('handshake not in time'))
+            return Err(ConnectionBroken('handshake exceeded its time limit'))
 
     async def async_send(self, message: Message) -> None:
-        """Queue a message; never waits for the peer."""
+        """Queue a message without waiting for the peer."""
         await self._outbox.put(message)
 
     def take_over(self, outbox: Queue) -> None:
-        """Write from a queue that messages already wait in."""
+        """Write from the given queue, which may already hold messages."""
         self._outbox = outbox
 
     async def async_receive(self) -> Result[Envelope, ConnectionBroken]:
-        """Wait for the next message."""
+        """Receive the next message."""
         try:
-            header = await self._async_take(LENGTH.size)
+            header = await self._async_read_exactly(LENGTH.size)
             length = LENGTH.unpack(header)[0]
             if length > self._max_frame_bytes:
-                return Err(ConnectionBroken(f'a frame of {length} bytes'))
-            frame = await self._async_take(length)
+                return Err(
+                    ConnectionBroken(
+                        f'frame of {length} bytes exceeds the limit'
+                    )
+                )
+            frame = await self._async_read_exactly(length)
         except (OSError, EOFError) as error:
             return Err(ConnectionBroken(repr(error)))
         decoded = decode_frame(frame)
@@ -128,8 +136,9 @@
     async def async_write(self) -> None:
         """Write queued messages until cancelled or the connection breaks.
 
-        However this ends, the reading side sees the connection end with it:
-        a peer that could be heard and not be told anything would look alive.
+        In both cases the socket is shut down, so that receiving ends too.
+        Otherwise a peer would seem alive that still sends messages but can't
+        be sent any.
         """
         try:
             await self._async_write_all()
@@ -163,37 +172,45 @@
             clock_us=self._identity.clock.stamp(),
         )
 
-    async def _async_handshake(
+    async def _async_exchange_proofs(
         self,
         is_caller: bool,
     ) -> Result[None, ConnectionBroken]:
         nonce = secrets.token_bytes(NONCE_BYTES)
-        hello = Hello(instance_id=self._identity.instance_id, nonce=nonce)
-        await self._sock.sendall(self._encode(hello))
+        own_hello = Hello(instance_id=self._identity.instance_id, nonce=nonce)
+        await self._sock.sendall(self._encode(own_hello))
         received = await self.async_receive()
         if isinstance(received, Err):
             return received
-        theirs = received.ok_value.hello
-        if theirs is None:
-            return Err(ConnectionBroken('no hello'))
-        if theirs.instance_id == self._identity.instance_id:
-            return Err(ConnectionBroken('a peer with the own instance_id'))
-        proof = Proof(mac=self._mac(hello, theirs, is_caller=is_caller))
+        peer_hello = received.ok_value.hello
+        if peer_hello is None:
+            return Err(ConnectionBroken('first message is not Hello'))
+        if peer_hello.instance_id == self._identity.instance_id:
+            return Err(
+                ConnectionBroken(
+                    'peer has the same instance_id as this process'
+                )
+            )
+        proof = Proof(mac=self._mac(own_hello, peer_hello, is_caller=is_caller))
         await self._sock.sendall(self._encode(proof))
         received = await self.async_receive()
         if isinstance(received, Err):
             return received
-        expected = self._mac(theirs, hello, is_caller=not is_caller)
-        proved = received.ok_value.proof
-        if proved is None or not hmac.compare_digest(proved.mac, expected):
-            return Err(ConnectionBroken('wrong proof'))
-        self.peer_id = theirs.instance_id
+        expected = self._mac(peer_hello, own_hello, is_caller=not is_caller)
+        peer_proof = received.ok_value.proof
+        if peer_proof is None or not hmac.compare_digest(
+            peer_proof.mac,
+            expected,
+        ):
+            return Err(ConnectionBroken('authentication failed'))
+        self.peer_id = peer_hello.instance_id
         self._max_frame_bytes = MAX_FRAME_BYTES
         return Ok(None)
 
     def _mac(self, own: Hello, other: Hello, *, is_caller: bool) -> bytes:
-        # The role is part of it: without it, a stranger could have a peer
-        # prove its own challenge by sending it back on a second connection.
+        # The digest covers the role. Otherwise an attacker could obtain the
+        # proof for a peer's challenge from the peer itself, by sending the
+        # challenge back on a second connection.
         parts = (
             b'caller' if is_caller else b'callee',
             own.instance_id.encode(ENCODING),
@@ -210,25 +227,26 @@
             digest.update(part)
         return digest.digest()
 
-    async def _async_take(self, length: int) -> bytes:
+    async def _async_read_exactly(self, length: int) -> bytes:
         while len(self._received) < length:
             received = await self._sock.recv(READ_BYTES)
             if not received:
-                raise EOFError('closed by the peer')
+                raise EOFError('peer closed the connection')
             self._identity.count_bytes('received', len(received))
             self._received += received
-        taken = bytes(self._received[:length])
+        chunk = bytes(self._received[:length])
         self._received = self._received[length:]
-        return taken
+        return chunk
 
 
 async def async_run_peer(
     connection: PeerConnection,
     on_envelope: Callable[[Envelope], Awaitable[None]],
 ) -> ConnectionBroken:
-    """Receive until the connection breaks; the writer ends with it.
+    """Receive messages and write queued ones until the connection breaks.
 
-    :returns: what broke it.
+    :param on_envelope: handles each received message.
+    :returns: what broke the connection.
     """
     writer = await spawn(connection.async_write, daemon=True)
     try:
--- a/hornbeamdeck/connection/platform.py
+++ b/hornbeamdeck/connection/platform.py
@@ -1,4 +1,4 @@
-"""Client of the platform; `platform_wire` reads its answers."""
+"""Client of the store; `platform_wire` parses the responses."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -20,12 +20,12 @@
     VersionConflict,
     WatchAnswer,
     WatchGap,
-    parsed,
-    to_instances,
-    to_listed,
-    to_seen,
-    to_stored,
-    written_version,
+    parse_changes,
+    parse_instances,
+    parse_object,
+    parse_object_list,
+    parse_response,
+    parse_written_version,
 )
 from hornbeamdeck.const import ENCODING
 
@@ -42,9 +42,10 @@
 
 
 class PlatformClient:
-    """Calls the object API over a few kept connections.
+    """Calls the store's object API over a few pooled connections.
 
-    :param role: which part calls, for the budget metric.
+    :param role: component that makes a call; label of the metric that counts
+        calls against their budget.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         *,
         calls: Callable[[str], None] | None = None,
     ) -> None:
-        """Remember where the platform is; nothing is opened yet.
+        """Set the address; no connection is opened yet.
 
         :param calls: called with the role of each call, to count it.
         """
@@ -65,15 +66,18 @@
         *,
         role: str,
     ) -> Result[StoredObject | None, PlatformDown]:
-        """Read an object; `None` where there is none."""
-        got = await self._async_call(
+        """Read an object; `None` if it does not exist."""
+        response = await self._async_call(
             'GET',
             f'/objects/{quote(key)}',
             role=role,
         )
-        if isinstance(got, Ok) and got.ok_value.status == HTTPStatus.NOT_FOUND:
+        if (
+            isinstance(response, Ok)
+            and response.ok_value.status == HTTPStatus.NOT_FOUND
+        ):
             return Ok(None)
-        return parsed(got, to_stored)
+        return parse_response(response, parse_object)
 
     async def async_put(
         self,
@@ -84,9 +88,10 @@
         role: str,
         timeout_ms: int = DEFAULT_TIMEOUT_MS,
     ) -> Result[int, PlatformError]:
-        """Write an object on a condition; gives its new version.
+        """Write an object if it has the expected version.
 
-        :param expected: the version to replace; `None`: must not exist.
+        :param expected: version to replace; `None`: the object must not exist.
+        :returns: the new version.
         """
         condition = {'if-none-match': '*'}
         if expected is not None:
@@ -99,7 +104,7 @@
             body=body.encode(ENCODING),
             timeout_ms=timeout_ms,
         )
-        return written_version(written)
+        return parse_written_version(written)
 
     async def async_delete(
         self,
@@ -108,14 +113,14 @@
         expected: int,
         role: str,
     ) -> Result[int, PlatformError]:
-        """Delete an object if it still has the expected version."""
+        """Delete an object if it has the expected version."""
         deleted = await self._async_call(
             'DELETE',
             f'/objects/{quote(key)}',
             role=role,
             headers={'if-match': str(expected)},
         )
-        return written_version(deleted)
+        return parse_written_version(deleted)
 
     async def async_list(
         self,
@@ -123,10 +128,12 @@
         *,
         role: str,
     ) -> Result[WatchAnswer, PlatformDown]:
-        """Read all objects under a prefix."""
+        """Read all objects whose keys have a prefix."""
         query = urlencode({'prefix': prefix})
-        got = await self._async_call('GET', '/objects', query=query, role=role)
-        return parsed(got, to_listed)
+        response = await self._async_call(
+            'GET', '/objects', query=query, role=role
+        )
+        return parse_response(response, parse_object_list)
 
     async def async_watch(
         self,
@@ -136,35 +143,39 @@
         role: str,
         wait_ms: int,
     ) -> Result[WatchAnswer, PlatformDown | WatchGap]:
-        """Wait for changes under a prefix after a revision.
+        """Wait for changes under a key prefix after a revision.
 
-        :param wait_ms: how long the platform holds the call, milliseconds.
+        :param since: revision after which changes are returned.
+        :param wait_ms: how long the store holds the call open, milliseconds.
         """
         query = urlencode(
             {'prefix': prefix, 'since': since, 'timeout_ms': wait_ms},
         )
-        got = await self._async_call(
+        response = await self._async_call(
             'GET',
             '/watch',
             query=query,
             role=role,
             timeout_ms=wait_ms + DEFAULT_TIMEOUT_MS,
         )
-        if isinstance(got, Ok) and got.ok_value.status == HTTPStatus.GONE:
+        if (
+            isinstance(response, Ok)
+            and response.ok_value.status == HTTPStatus.GONE
+        ):
             return Err(WatchGap())
-        return parsed(got, to_seen)
+        return parse_response(response, parse_changes)
 
     async def async_instances(
         self,
         *,
         role: str,
     ) -> Result[tuple[ListedInstance, ...], PlatformDown]:
-        """Read the lagging list of live and leaving instances."""
-        got = await self._async_call('GET', '/instances', role=role)
-        return parsed(got, to_instances)
+        """Read the store's list of live and draining instances; it lags."""
+        response = await self._async_call('GET', '/instances', role=role)
+        return parse_response(response, parse_instances)
 
     async def async_close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self._calls.async_close()
 
     async def _async_call(
@@ -178,8 +189,8 @@
         body: bytes = b'',
         timeout_ms: int = DEFAULT_TIMEOUT_MS,
     ) -> Result[HttpResponse, PlatformDown]:
-        sent_headers = {**(headers or {}), 'hornbeamdeck-role': role}
-        request = HttpRequest(method, path, query, sent_headers, body)
+        all_headers = {**(headers or {}), 'hornbeamdeck-role': role}
+        request = HttpRequest(method, path, query, all_headers, body)
         return await self._calls.async_call(
             request,
             role=role,
--- a/hornbeamdeck/connection/platform_calls.py
+++ b/hornbeamdeck/connection/platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's service over a few kept connections."""
+"""Calls to the store over a few pooled connections."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -16,11 +16,11 @@
 __all__ = ('DEFAULT_TIMEOUT_MS', 'PlatformCalls')
 
 DEFAULT_TIMEOUT_MS: Final = 2000
-MAX_IDLE: Final = 4
+MAX_IDLE_CONNECTIONS: Final = 4
 
 
 class PlatformCalls:
-    """Makes calls, whatever their wire form; every failure is an outage."""
+    """Makes calls in any wire format; every failure counts as an outage."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         *,
         count: Callable[[str], None] | None = None,
     ) -> None:
-        """Remember where the platform is; nothing is opened yet.
+        """Set the address; no connection is opened yet.
 
         :param count: called with the role of each call, to count it.
         """
@@ -45,8 +45,9 @@
     ) -> Result[HttpResponse, PlatformDown]:
         """Make one call.
 
-        :param role: which part calls, for the budget metric.
-        :param timeout_ms: longest wait for the whole answer, milliseconds.
+        :param role: component that makes the call; label of the metric that
+            counts calls against their budget.
+        :param timeout_ms: time limit for the complete call, milliseconds.
         """
         if self._count is not None:
             self._count(role)
@@ -56,10 +57,10 @@
                 self._async_exchange(request),
             )
         except TaskTimeout:
-            return Err(PlatformDown('no answer in time'))
+            return Err(PlatformDown('no response within the time limit'))
 
     async def async_close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         while self._idle:
             await self._idle.pop().async_close()
 
@@ -67,24 +68,27 @@
         self,
         request: HttpRequest,
     ) -> Result[HttpResponse, PlatformDown]:
-        connection = await self._async_connection()
+        connection = await self._async_get_connection()
         if isinstance(connection, Err):
             return connection
-        keep = False
+        is_reusable = False
         try:
-            got = await connection.ok_value.async_fetch(request)
-            keep = connection.ok_value.may_reuse
+            response = await connection.ok_value.async_fetch(request)
+            is_reusable = connection.ok_value.may_reuse
         finally:
-            # A call that was cancelled or failed leaves a connection on which
-            # a late answer could be taken for the next call's, so it is closed.
-            await self._async_put_back(connection.ok_value, keep=keep)
-        if isinstance(got, Err):
-            return Err(PlatformDown(got.err_value.cause))
-        if got.ok_value.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            return Err(PlatformDown(f'status {got.ok_value.status}'))
-        return Ok(got.ok_value)
+            # After a cancelled or failed call the connection is closed: a late
+            # response could otherwise be read as that of the next call.
+            await self._async_put_back(
+                connection.ok_value,
+                is_reusable=is_reusable,
+            )
+        if isinstance(response, Err):
+            return Err(PlatformDown(response.err_value.cause))
+        if response.ok_value.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            return Err(PlatformDown(f'status {response.ok_value.status}'))
+        return Ok(response.ok_value)
 
-    async def _async_connection(
+    async def _async_get_connection(
         self,
     ) -> Result[ClientConnection, PlatformDown]:
         if self._idle:
@@ -99,9 +103,9 @@
         self,
         connection: ClientConnection,
         *,
-        keep: bool,
+        is_reusable: bool,
     ) -> None:
-        if keep and len(self._idle) < MAX_IDLE:
+        if is_reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
             return
         await connection.async_close()
--- a/hornbeamdeck/connection/platform_wire.py
+++ b/hornbeamdeck/connection/platform_wire.py
@@ -1,4 +1,4 @@
-"""The platform's answers: what they mean and how they are read."""
+"""Types of the store's responses, and their parsers."""
 
 import json
 from collections.abc import Callable
@@ -17,12 +17,12 @@
     'VersionConflict',
     'WatchAnswer',
     'WatchGap',
-    'parsed',
-    'to_instances',
-    'to_listed',
-    'to_seen',
-    'to_stored',
-    'written_version',
+    'parse_response',
+    'parse_instances',
+    'parse_object_list',
+    'parse_changes',
+    'parse_object',
+    'parse_written_version',
 )
 
 _CONDITION_FAILED: Final = frozenset(
@@ -33,24 +33,24 @@
 
 
 class PlatformDown(NamedTuple):
-    """No usable answer came; a write may have taken effect all the same."""
+    """No usable response; a write may have taken effect nevertheless."""
 
     cause: str
 
 
 class VersionConflict(NamedTuple):
-    """The condition of a write did not hold, so it took no effect."""
+    """The condition of a write was not met, so it took no effect."""
 
 
 PlatformError: TypeAlias = PlatformDown | VersionConflict
 
 
 class WatchGap(NamedTuple):
-    """The platform no longer holds all changes since a revision."""
+    """The store no longer holds all changes since a revision."""
 
 
 class StoredObject(NamedTuple):
-    """An object of the platform; `body` is absent where it was deleted."""
+    """An object in the store; `body` is `None` after a deletion."""
 
     key: str
     version: int
@@ -58,70 +58,71 @@
 
 
 class WatchAnswer(NamedTuple):
-    """Changes after a revision, and the revision to ask from next."""
+    """Changes after a revision, and the revision for the next request."""
 
     revision: int
     changes: tuple[StoredObject, ...]
 
 
 class ListedInstance(NamedTuple):
-    """An entry of the platform's lagging instance list."""
+    """An entry of the store's instance list, which lags."""
 
     address: str
     state: str
 
 
-def parsed(
-    got: Result[HttpResponse, PlatformDown],
+def parse_response(
+    response: Result[HttpResponse, PlatformDown],
     parse: Callable[[Any], _Parsed],
 ) -> Result[_Parsed, PlatformDown]:
-    """Read an answer's JSON.
+    """Parse the JSON body of a response.
 
-    What is malformed counts as no answer: the parts that follow the platform
-    for ever would otherwise die of one, and the process go on with old state.
+    A malformed response is an error like a missing one. An exception would end
+    the tasks that follow the store, and the process would go on with stale
+    state.
     """
-    if isinstance(got, Err):
-        return got
-    if got.ok_value.status != HTTPStatus.OK:
-        return Err(PlatformDown(f'status {got.ok_value.status}'))
+    if isinstance(response, Err):
+        return response
+    if response.ok_value.status != HTTPStatus.OK:
+        return Err(PlatformDown(f'status {response.ok_value.status}'))
     try:
-        return Ok(parse(json.loads(got.ok_value.body)))
+        return Ok(parse(json.loads(response.ok_value.body)))
     except (ValueError, LookupError, TypeError) as error:
-        return Err(PlatformDown(f'malformed answer: {error!r}'))
+        return Err(PlatformDown(f'malformed response: {error!r}'))
 
 
-def written_version(
+def parse_written_version(
     written: Result[HttpResponse, PlatformDown],
 ) -> Result[int, PlatformError]:
-    """Read the version that a conditional write gave."""
+    """Parse the version that a conditional write returned."""
     status = written.map_or(0, lambda response: response.status)
     if status in _CONDITION_FAILED:
         return Err(VersionConflict())
-    return parsed(written, _to_version)
+    return parse_response(written, _parse_version)
 
 
-def _to_version(raw: Any) -> int:
+def _parse_version(raw: Any) -> int:
     return int(raw['version'])
 
 
-def to_stored(raw: Any) -> StoredObject:
-    """Read one object."""
+def parse_object(raw: Any) -> StoredObject:
+    """Parse one object."""
     return StoredObject(raw['key'], raw['version'], raw['body'])
 
 
-def to_listed(raw: Any) -> WatchAnswer:
-    """Read a list of objects."""
-    return WatchAnswer(raw['revision'], tuple(map(to_stored, raw['found'])))
+def parse_object_list(raw: Any) -> WatchAnswer:
+    """Parse a list of objects."""
+    return WatchAnswer(raw['revision'], tuple(map(parse_object, raw['found'])))
 
 
-def to_seen(raw: Any) -> WatchAnswer:
-    """Read the changes that a watch saw."""
-    return WatchAnswer(raw['revision'], tuple(map(to_stored, raw['events'])))
+def parse_changes(raw: Any) -> WatchAnswer:
+    """Parse the changes that a watch returned."""
+    return WatchAnswer(raw['revision'], tuple(map(parse_object, raw['events'])))
 
 
-def to_instances(raw: Any) -> tuple[ListedInstance, ...]:
-    """Read the list of live and leaving instances."""
+def parse_instances(raw: Any) -> tuple[ListedInstance, ...]:
+    """Parse the list of live and draining instances."""
     return tuple(
-        ListedInstance(each['address'], each['state'])
-        for each in raw['instances']
+        ListedInstance(entry['address'], entry['state'])
+        for entry in raw['instances']
     )
--- a/hornbeamdeck/connection/reader.py
+++ b/hornbeamdeck/connection/reader.py
@@ -1,4 +1,4 @@
-"""Reads whole requests from a connection, within limits of size and time."""
+"""Reads complete requests from a connection, limited in size and time."""
 
 from http import HTTPStatus
 from typing import Final, NamedTuple
@@ -25,10 +25,11 @@
 
 
 class ReadLimits(NamedTuple):
-    """What one caller may cost.
+    """Limits on one caller's requests.
 
-    :param idle_ms: longest wait for a request's first byte, milliseconds.
-    :param request_ms: longest time from its first byte to its last.
+    :param idle_ms: longest wait for the first byte of a request, milliseconds.
+    :param request_ms: longest time from the first byte of a request to the
+        last, milliseconds.
     """
 
     idle_ms: int = 75_000
@@ -38,7 +39,7 @@
 
 
 class RequestReader:
-    """The reading half of a server connection."""
+    """The receiving half of a server connection."""
 
     def __init__(
         self,
@@ -46,27 +47,27 @@
         protocol: h11.Connection,
         limits: ReadLimits,
     ) -> None:
-        """Share the socket and the protocol state with the writing half."""
+        """Share the socket and the protocol state with the sending half."""
         self._sock = sock
         self._protocol = protocol
         self._limits = limits
 
     async def async_read(self) -> Result[HttpRequest, ReadError]:
-        """Read one whole request.
+        """Read one complete request.
 
-        A caller that opens a connection and sends a byte a minute would hold
-        a task and its memory for ever; the limits bound both the wait for
-        the first byte and the time from there to the last.
+        Both the wait for the first byte and the time from there to the last
+        are limited. Otherwise a caller that sends one byte a minute would hold
+        a task and its memory without end.
         """
         try:
-            opening = await async_within(
+            first_byte = await async_within(
                 self._limits.idle_ms,
-                self._async_first(),
+                self._async_wait_first_byte(),
             )
         except TaskTimeout:
             return Err(PeerClosed())
-        if isinstance(opening, Err):
-            return opening
+        if isinstance(first_byte, Err):
+            return first_byte
         try:
             return await async_within(
                 self._limits.request_ms,
@@ -81,36 +82,37 @@
             )
 
     async def async_wait_closed(self) -> None:
-        """Return once the caller has left.
+        """Return when the caller has disconnected.
 
-        Bytes of a next request that come meanwhile are kept for it, up to a
-        bound: past it a caller that pipelines without end is as good as gone.
+        Bytes of the next request that arrive meanwhile are buffered, up to the
+        largest body size. A caller that pipelines more than that is treated as
+        disconnected.
         """
-        kept_bytes = 0
-        while kept_bytes <= self._limits.max_body_bytes:
+        buffered_bytes = 0
+        while buffered_bytes <= self._limits.max_body_bytes:
             try:
                 received = await self._sock.recv(READ_BYTES)
             except OSError:
                 return
             if not received:
                 return
-            kept_bytes += len(received)
+            buffered_bytes += len(received)
             self._protocol.receive_data(received)
 
-    async def async_discard(self) -> None:
-        """Read and forget until the caller closes."""
+    async def async_discard_input(self) -> None:
+        """Discard received bytes until the caller closes."""
         received = await self._sock.recv(READ_BYTES)
         while received:
             received = await self._sock.recv(READ_BYTES)
 
-    async def _async_first(self) -> Result[None, ReadError]:
+    async def _async_wait_first_byte(self) -> Result[None, ReadError]:
         if self._protocol.trailing_data[0]:
             return Ok(None)
         return await self._async_receive()
 
     async def _async_receive(self) -> Result[None, ReadError]:
         try:
-            await self._async_go_on()
+            await self._async_send_continue()
             received = await self._sock.recv(READ_BYTES)
         except OSError as error:
             return Err(ConnectionBroken(repr(error)))
@@ -119,33 +121,33 @@
         self._protocol.receive_data(received)
         return Ok(None)
 
-    async def _async_go_on(self) -> None:
+    async def _async_send_continue(self) -> None:
         if self._protocol.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(
+            interim = h11.InformationalResponse(
                 status_code=HTTPStatus.CONTINUE,
                 headers=[],
             )
-            await self._sock.sendall(self._protocol.send(go_on) or b'')
+            await self._sock.sendall(self._protocol.send(interim) or b'')
 
     async def _async_read_rest(self) -> Result[HttpRequest, ReadError]:
-        head = await self._async_next()
+        head = await self._async_next_event()
         if isinstance(head, Err):
             return head
-        opening = head.ok_value
-        if not isinstance(opening, h11.Request):
+        request = head.ok_value
+        if not isinstance(request, h11.Request):
             return Err(PeerClosed())
         body = await self._async_read_body()
-        return body.map(lambda whole: _to_request(opening, whole))
+        return body.map(lambda read: _to_request(request, read))
 
     async def _async_read_body(self) -> Result[bytes, ReadError]:
         body = bytearray()
         while True:
-            step = await self._async_next()
-            if isinstance(step, Err):
-                return step
-            if not isinstance(step.ok_value, h11.Data):
+            event = await self._async_next_event()
+            if isinstance(event, Err):
+                return event
+            if not isinstance(event.ok_value, h11.Data):
                 return Ok(bytes(body))
-            body += step.ok_value.data
+            body += event.ok_value.data
             if len(body) > self._limits.max_body_bytes:
                 return Err(
                     BadRequest(
@@ -154,7 +156,7 @@
                     ),
                 )
 
-    async def _async_next(self) -> Result[h11.Event, ReadError]:
+    async def _async_next_event(self) -> Result[h11.Event, ReadError]:
         while True:
             try:
                 event = self._protocol.next_event()
--- a/hornbeamdeck/connection/server.py
+++ b/hornbeamdeck/connection/server.py
@@ -1,4 +1,4 @@
-"""The serving side of one HTTP connection."""
+"""The server side of an HTTP connection."""
 
 import struct
 from typing import Final
@@ -25,27 +25,30 @@
 
 
 class ServerConnection:
-    """Reads requests from one connection and writes their responses."""
+    """Reads requests from one connection and writes the responses."""
 
     def __init__(
         self,
         sock: socket.socket,
         limits: ReadLimits | None = None,
     ) -> None:
-        """Take a connected socket."""
-        chosen = limits or ReadLimits()
+        """Use a connected socket.
+
+        :param limits: on the caller's requests; `None`: the defaults.
+        """
+        read_limits = limits or ReadLimits()
         self._sock = sock
-        self._will_close = False
-        self._is_head = False
+        self._is_closing = False
+        self._is_head_request = False
         self._protocol = h11.Connection(
             h11.SERVER,
-            max_incomplete_event_size=chosen.max_header_bytes,
+            max_incomplete_event_size=read_limits.max_header_bytes,
         )
-        self._reader = RequestReader(sock, self._protocol, chosen)
+        self._reader = RequestReader(sock, self._protocol, read_limits)
 
     @property
     def may_reuse(self) -> bool:
-        """Whether another request can come on this connection."""
+        """Whether another request can be read from this connection."""
         return (
             self._protocol.our_state is h11.DONE
             and self._protocol.their_state is h11.DONE
@@ -57,32 +60,38 @@
         return self._protocol.our_state not in {h11.IDLE, h11.SEND_RESPONSE}
 
     def close_after_response(self) -> None:
-        """Tell the caller, with the next response, to connect elsewhere."""
-        self._will_close = True
+        """Send `connection: close` with the next response.
+
+        The caller then opens a new connection, which may reach another
+        instance.
+        """
+        self._is_closing = True
 
     def start_next(self) -> None:
-        """Make ready for the next request."""
+        """Prepare to read the next request."""
         self._protocol.start_next_cycle()
 
     async def async_read_request(self) -> Result[HttpRequest, ReadError]:
-        """Read one whole request."""
+        """Read one complete request."""
         request = await self._reader.async_read()
         if isinstance(request, Ok):
-            self._is_head = request.ok_value.method == 'HEAD'
+            self._is_head_request = request.ok_value.method == 'HEAD'
         return request
 
     async def async_wait_closed(self) -> None:
-        """Return once the caller has left."""
+        """Return when the caller has disconnected."""
         await self._reader.async_wait_closed()
 
     async def async_respond(
         self,
         response: HttpResponse,
     ) -> Result[None, ConnectionBroken]:
-        """Write a whole response."""
+        """Write a complete response."""
         length = {'content-length': str(len(response.body))}
-        encoded = self._head(response.status, {**response.headers, **length})
-        if response.body and not self._is_head:
+        encoded = self._encode_head(
+            response.status, {**response.headers, **length}
+        )
+        if response.body and not self._is_head_request:
             encoded += self._protocol.send(h11.Data(data=response.body)) or b''
         encoded += self._protocol.send(h11.EndOfMessage()) or b''
         return await self._async_write(encoded)
@@ -92,48 +101,48 @@
         status: int,
         headers: Headers,
     ) -> Result[None, ConnectionBroken]:
-        """Write the head of a response whose body follows in pieces."""
-        return await self._async_write(self._head(status, headers))
+        """Write the head of a response whose body is sent in pieces."""
+        return await self._async_write(self._encode_head(status, headers))
 
     async def async_send(self, piece: bytes) -> Result[None, ConnectionBroken]:
-        """Write a piece of a body."""
+        """Write a piece of the body."""
         return await self._async_write(
             self._protocol.send(h11.Data(data=piece)) or b'',
         )
 
     async def async_end(self) -> Result[None, ConnectionBroken]:
-        """End a body that is whole."""
+        """Write the end of a complete body."""
         return await self._async_write(
             self._protocol.send(h11.EndOfMessage()) or b'',
         )
 
     def abort(self) -> None:
-        """Have the connection reset when it is closed, so no part seems whole.
+        """Reset the connection when it is closed, to mark the body as cut.
 
-        To a caller of HTTP/1.0 a body ends where the connection is closed;
-        only a reset tells it that this one is cut. The closing itself is left
-        to the end of the connection's task: the task that watches for the
-        caller still waits on the socket, and its number might be given to
-        another connection meanwhile.
+        For an HTTP/1.0 caller a body ends when the connection closes, so only
+        a reset shows that the body is incomplete. The socket is closed later,
+        when the connection's task ends: the task that detects a disconnect
+        still waits on it, and a closed socket's descriptor could be reused by
+        another connection.
         """
         reset = struct.pack('ii', 1, 0)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
         self._protocol.send_failed()
 
     async def async_linger(self) -> None:
-        """Discard what still comes after a refusal, for a short while.
+        """Discard received bytes for a short time after an error response.
 
-        To close with bytes unread resets the connection, and the caller loses
-        the response that says what was wrong with its request.
+        Closing a socket with unread bytes resets the connection. The caller
+        would then lose the response that describes the error.
         """
         try:
             await self._sock.shutdown(socket.SHUT_WR)
-            await async_within(LINGER_MS, self._reader.async_discard())
+            await async_within(LINGER_MS, self._reader.async_discard_input())
         except (OSError, TaskTimeout):
             return
 
-    def _head(self, status: int, headers: Headers) -> bytes:
-        if self._will_close:
+    def _encode_head(self, status: int, headers: Headers) -> bytes:
+        if self._is_closing:
             headers = {**headers, 'connection': 'close'}
         event = h11.Response(status_code=status, headers=header_pairs(headers))
         return self._protocol.send(event) or b''
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -1,4 +1,4 @@
-"""Streams whose connection breaks on the way."""
+"""Engine streams whose connection breaks before the end."""
 
 from curio import TaskGroup, sleep, spawn
 
@@ -16,10 +16,10 @@
 
 
 @on_fleet(PLAN)
-async def test_cut_stream_goes_on_where_it_was(fleet: Fleet) -> None:
-    """A switch between instances and engines restarts while six answers are
-    under way. The engine goes on with them; the callers get each word once,
-    and nothing is run a second time.
+async def test_broken_stream_is_resumed_on_the_same_run(fleet: Fleet) -> None:
+    """Guards against lost or repeated output and a second run when a switch
+    between instances and engines restarts during six responses. The engine
+    continues its runs, and each caller receives the complete response.
     """
     engine = fleet.engines[0]
     async with TaskGroup() as calls:
@@ -37,9 +37,9 @@
 
 
 @on_fleet(PLAN)
-async def test_crashed_engine_breaks_the_stream(fleet: Fleet) -> None:
-    """The engine itself dies in the middle of an answer and comes back without
-    it. The caller must see its answer broken, not ended.
+async def test_engine_crash_breaks_the_stream(fleet: Fleet) -> None:
+    """Guards against a cut response that looks complete. The engine crashes
+    during a response and restarts without it; the caller must see an error.
     """
     address = fleet.instances[0].own.address
     call = await spawn(async_call, desk_entry(output_tokens=200), 1, address)
@@ -54,11 +54,13 @@
 
 
 @on_fleet(PLAN)
-async def test_run_of_a_caller_that_left_is_cancelled(fleet: Fleet) -> None:
-    """A guide closes the app in the middle of a long answer. The engine must
-    not go on writing it for nobody.
+async def test_run_is_cancelled_when_its_caller_disconnects(
+    fleet: Fleet,
+) -> None:
+    """Guards against an engine that continues a long response after its
+    caller has disconnected.
     """
-    # By itself this engine would wait a minute for somebody to resume.
+    # Without a cancel request the engine waits a minute for a resume.
     fleet.engines[0].streams.grace_s = 60
     address = fleet.instances[0].own.address
     entry = desk_entry(output_tokens=5000)
--- a/tests/connection/test_http.py
+++ b/tests/connection/test_http.py
@@ -1,4 +1,4 @@
-"""Header fields that come more than once, and calls without a body."""
+"""Repeated header fields, and responses without a body."""
 
 from hornbeamdeck.connection.http import (
     HttpRequest,
@@ -9,29 +9,30 @@
 from tests.support import async_fetch, on_fleet
 
 
-def test_cookies_of_a_plain_service_stay_apart() -> None:
-    """A booking page sets two cookies. Joined by a comma, browsers would read
-    one broken cookie and the family would lose its session.
+def test_set_cookie_fields_stay_separate() -> None:
+    """Guards against joining two Set-Cookie fields by a comma: a browser would
+    read one invalid cookie and lose its session.
     """
     pairs = [(b'set-cookie', b'a=1'), (b'set-cookie', b'b=2, c')]
     assert header_pairs(join_headers(pairs)) == pairs
 
 
-def test_other_fields_are_joined() -> None:
+def test_other_fields_are_joined_by_commas() -> None:
     joined = join_headers([(b'accept', b'a'), (b'accept', b'b')])
     assert joined == {'accept': 'a, b'}
 
 
-def test_field_beyond_ascii_survives() -> None:
-    """An upstream names a file with an accent in a header. Written as ASCII
-    it would raise after the call ran, and the caller see a broken answer.
+def test_non_ascii_field_is_preserved() -> None:
+    """Guards against encoding header fields as ASCII. A file name with an
+    accent would raise an error after the call ran, and the caller would get
+    an incomplete response.
     """
     pairs = [(b'content-disposition', 'filename=cèpe'.encode('latin-1'))]
     assert header_pairs(join_headers(pairs)) == pairs
 
 
 @on_fleet(FleetPlan(instances=1, speeds=(1.0,)))
-async def test_head_is_answered_without_body(fleet: Fleet) -> None:
+async def test_head_response_has_no_body(fleet: Fleet) -> None:
     request = HttpRequest('HEAD', '/healthz', '', {}, b'')
     response = await async_fetch(fleet.instances[0].own.address, request)
     assert response.status == 200
--- a/tests/connection/test_kept.py
+++ b/tests/connection/test_kept.py
@@ -1,101 +1,104 @@
-"""Which connections are kept, and for how long."""
+"""The pool of idle connections to engines."""
 
 from typing import cast
 
 import curio
 
 from hornbeamdeck.connection.client import ClientConnection
-from hornbeamdeck.connection.kept import KEPT_AT_ENGINE, KeptConnections
+from hornbeamdeck.connection.kept import MAX_IDLE_AT_ENGINE, KeptConnections
 
 IDLE_MS = 10_000
 
 
-class _Connection:
-    """A connection as far as keeping it goes."""
+class _FakeConnection:
+    """Stands in for a client connection in the pool."""
 
     def __init__(self) -> None:
         self.may_reuse = True
         self.is_open = True
-        self.has_come = False
+        self.has_input = False
 
-    def is_quiet(self) -> bool:
-        return not self.has_come
+    def has_no_pending_input(self) -> bool:
+        return not self.has_input
 
     async def async_close(self) -> None:
         self.is_open = False
 
 
-def _keep(
-    kept: KeptConnections,
-    *connections: _Connection,
+def _release(
+    pool: KeptConnections,
+    *connections: _FakeConnection,
     idle_ms: float = IDLE_MS,
 ) -> None:
     for each in connections:
         typed = cast(ClientConnection, each)
-        curio.run(kept.async_keep, 'e1', typed, idle_ms)
+        curio.run(pool.async_keep, 'e1', typed, idle_ms)
 
 
-def _take(kept: KeptConnections) -> object:
-    return curio.run(kept.async_take, 'e1')
+def _acquire(pool: KeptConnections) -> object:
+    return curio.run(pool.async_take, 'e1')
 
 
-def test_the_last_used_is_taken_first() -> None:
-    kept = KeptConnections(lambda: 1)
-    older, newer = _Connection(), _Connection()
-    _keep(kept, older, newer)
-    assert _take(kept) is newer
-    assert _take(kept) is older
-    assert _take(kept) is None
+def test_last_used_connection_is_taken_first() -> None:
+    pool = KeptConnections(lambda: 1)
+    older, newer = _FakeConnection(), _FakeConnection()
+    _release(pool, older, newer)
+    assert _acquire(pool) is newer
+    assert _acquire(pool) is older
+    assert _acquire(pool) is None
 
 
-def test_one_with_unread_bytes_is_closed() -> None:
-    """A late answer lies in a kept connection, or its end."""
-    kept = KeptConnections(lambda: 1)
-    sound, spoilt = _Connection(), _Connection()
-    _keep(kept, sound, spoilt)
-    spoilt.has_come = True
-    assert _take(kept) is sound
-    assert not spoilt.is_open
-
-
-def test_what_may_not_be_used_again_is_not_kept() -> None:
-    kept = KeptConnections(lambda: 1)
-    unfit, unannounced = _Connection(), _Connection()
-    unfit.may_reuse = False
-    _keep(kept, unfit)
-    _keep(kept, unannounced, idle_ms=0)
-    assert not len(kept)
-    assert not unfit.is_open
-    assert not unannounced.is_open
-
-
-def test_an_old_one_is_closed() -> None:
-    kept = KeptConnections(lambda: 1)
-    old = _Connection()
-    _keep(kept, old, idle_ms=1e-9)
-    assert _take(kept) is None
-    assert not old.is_open
-
-
-def test_a_failure_costs_all_to_that_engine() -> None:
-    """An engine breaks under a request on a kept connection. What else is kept
-    to it is as old, and the next requests would break on it in turn.
+def test_connection_with_unread_bytes_is_closed() -> None:
+    """Guards against reading a late response, or a close, on an idle
+    connection as the response to the next request.
+    """
+    pool = KeptConnections(lambda: 1)
+    clean, stale = _FakeConnection(), _FakeConnection()
+    _release(pool, clean, stale)
+    stale.has_input = True
+    assert _acquire(pool) is clean
+    assert not stale.is_open
+
+
+def test_connection_that_cannot_be_reused_is_closed() -> None:
+    pool = KeptConnections(lambda: 1)
+    not_reusable, no_keep_alive = _FakeConnection(), _FakeConnection()
+    not_reusable.may_reuse = False
+    _release(pool, not_reusable)
+    _release(pool, no_keep_alive, idle_ms=0)
+    assert not len(pool)
+    assert not not_reusable.is_open
+    assert not no_keep_alive.is_open
+
+
+def test_expired_connection_is_closed() -> None:
+    pool = KeptConnections(lambda: 1)
+    expired = _FakeConnection()
+    _release(pool, expired, idle_ms=1e-9)
+    assert _acquire(pool) is None
+    assert not expired.is_open
+
+
+def test_failure_closes_all_connections_to_the_engine() -> None:
+    """Guards against repeated failures after an engine breaks an idle
+    connection. The others to that engine are as old, and the next requests on
+    them would fail in turn.
     """
-    kept = KeptConnections(lambda: 1)
-    both = (_Connection(), _Connection())
-    _keep(kept, *both)
-    curio.run(kept.async_drop, 'e1')
+    pool = KeptConnections(lambda: 1)
+    both = (_FakeConnection(), _FakeConnection())
+    _release(pool, *both)
+    curio.run(pool.async_drop, 'e1')
     assert not any(each.is_open for each in both)
-    assert _take(kept) is None
+    assert _acquire(pool) is None
 
 
-def test_a_large_fleet_leaves_an_engine_its_connections() -> None:
-    """An engine accepts a few hundred connections. Each of a hundred instances
-    keeps some, and the next new one is reset.
+def test_idle_limit_is_shared_by_all_instances() -> None:
+    """Guards against idle connections of a hundred instances that use up the
+    few hundred connections an engine accepts, so that new ones are reset.
     """
-    kept = KeptConnections(lambda: KEPT_AT_ENGINE // 2)
-    _keep(kept, *(_Connection() for _ in range(5)))
-    assert len(kept) == 2
-    none = KeptConnections(lambda: KEPT_AT_ENGINE + 1)
-    _keep(none, _Connection())
-    assert not len(none)
+    pool = KeptConnections(lambda: MAX_IDLE_AT_ENGINE // 2)
+    _release(pool, *(_FakeConnection() for _ in range(5)))
+    assert len(pool) == 2
+    empty = KeptConnections(lambda: MAX_IDLE_AT_ENGINE + 1)
+    _release(empty, _FakeConnection())
+    assert not len(empty)
--- a/tests/connection/test_slow_callers.py
+++ b/tests/connection/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send slowly, or nothing."""
+"""Callers that send slowly or not at all."""
 
 from curio import socket, spawn
 
@@ -12,17 +12,18 @@
 
 
 async def _async_read(sent: bytes) -> object:
-    near, far = socket.socketpair()
-    async with near, far:
-        await far.sendall(sent)
-        connection = ServerConnection(near, LIMITS)
+    server_sock, caller_sock = socket.socketpair()
+    async with server_sock, caller_sock:
+        await caller_sock.sendall(sent)
+        connection = ServerConnection(server_sock, LIMITS)
         return (await connection.async_read_request()).unwrap_err()
 
 
 @curio_test
-async def test_body_that_never_ends_is_given_up() -> None:
-    """A caller opens a thousand connections and sends a byte on each now and
-    then. Without a limit each would hold a task and its memory for ever.
+async def test_incomplete_body_times_out() -> None:
+    """Guards against a caller that opens a thousand connections and rarely
+    sends a byte. Without a time limit each would hold a task and its memory
+    without end.
     """
     error = await _async_read(HEAD + b'ab')
     assert isinstance(error, BadRequest)
@@ -30,18 +31,18 @@
 
 
 @curio_test
-async def test_silent_connection_is_closed() -> None:
+async def test_idle_connection_times_out() -> None:
     assert await _async_read(b'') == PeerClosed()
 
 
 @curio_test
-async def test_whole_request_is_read_in_time() -> None:
-    near, far = socket.socketpair()
-    async with near, far:
+async def test_complete_request_is_read() -> None:
+    server_sock, caller_sock = socket.socketpair()
+    async with server_sock, caller_sock:
         reading = await spawn(
-            ServerConnection(near, LIMITS).async_read_request,
+            ServerConnection(server_sock, LIMITS).async_read_request,
         )
-        await far.sendall(HEAD)
-        await far.sendall(b'abcde')
+        await caller_sock.sendall(HEAD)
+        await caller_sock.sendall(b'abcde')
         request = (await reading.join()).unwrap()
     assert request.body == b'abcde'
