--- a/hornbeamdeck/version/__init__.py
+++ b/hornbeamdeck/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one version of the configuration."""
+"""Configuration documents: schema, checks and the parsed versions."""
--- a/hornbeamdeck/version/check.py
+++ b/hornbeamdeck/version/check.py
@@ -1,4 +1,4 @@
-"""Checks of a document that its shape alone does not show."""
+"""Checks across sections of a document, which the schema can't express."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -30,9 +30,9 @@
 
 
 class DocumentError(NamedTuple):
-    """What is wrong in a document, and where.
+    """An error in a document.
 
-    :param path: steps into the document, joined by dots.
+    :param path: of the field: its keys and indexes, joined by dots.
     """
 
     path: str
@@ -40,45 +40,47 @@
 
 
 def cross_check(checked: Mapping[str, Any]) -> tuple[DocumentError, ...]:
-    """Find names used twice and names that lead nowhere."""
-    return (*_repeated(checked), *_dangling(checked))
+    """Find repeated values of unique fields, and undefined names."""
+    return (*_find_duplicates(checked), *_find_undefined(checked))
 
 
-def _repeated(checked: Mapping[str, Any]) -> Iterator[DocumentError]:
+def _find_duplicates(checked: Mapping[str, Any]) -> Iterator[DocumentError]:
     for section, field in UNIQUE_FIELDS:
-        seen: Counter[Any] = Counter()
+        counts: Counter[Any] = Counter()
         for index, entry in enumerate(checked[section]):
-            seen[entry[field]] += 1
-            if seen[entry[field]] > 1:
+            counts[entry[field]] += 1
+            if counts[entry[field]] > 1:
                 yield DocumentError(
                     f'{section}.{index}.{field}',
                     f'{entry[field]} stands twice',
                 )
 
 
-def _dangling(checked: Mapping[str, Any]) -> Iterator[DocumentError]:
+def _find_undefined(checked: Mapping[str, Any]) -> Iterator[DocumentError]:
     tiers = {tier[CONF_NAME] for tier in checked[CONF_TIERS]}
     services = {service[CONF_NAME] for service in checked[CONF_SERVICES]}
     for index, team in enumerate(checked[CONF_TEAMS]):
-        yield from _unknown(f'teams.{index}.tiers', team[CONF_TIERS], tiers)
-        yield from _unknown(
+        yield from _check_defined(
+            f'teams.{index}.tiers', team[CONF_TIERS], tiers
+        )
+        yield from _check_defined(
             f'teams.{index}.services',
             team[CONF_SERVICES],
             services,
         )
-    for place, upstream in enumerate(checked[CONF_UPSTREAMS]):
-        yield from _unknown(
-            f'upstreams.{place}.service',
+    for position, upstream in enumerate(checked[CONF_UPSTREAMS]):
+        yield from _check_defined(
+            f'upstreams.{position}.service',
             [upstream[CONF_SERVICE]],
             services,
         )
 
 
-def _unknown(
+def _check_defined(
     path: str,
     used: list[str],
-    known: set[str],
+    defined: set[str],
 ) -> Iterator[DocumentError]:
     for name in used:
-        if name not in known:
+        if name not in defined:
             yield DocumentError(path, f'{name} is not defined')
--- a/hornbeamdeck/version/configuration.py
+++ b/hornbeamdeck/version/configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, ready for look-ups."""
+"""One parsed version of the configuration."""
 
 import hashlib
 import hmac
@@ -26,10 +26,11 @@
 
 
 class Configuration(NamedTuple):
-    """Everything that the fleet is told.
+    """The configuration of the fleet, indexed for lookups.
 
-    :param version: the platform's version of the document.
-    :param document: the text as it was accepted.
+    :param version: of the document in the store; 0: none was read yet.
+    :param document: the accepted text.
+    :param teams_by_key: by SHA-256 digest of the bearer key.
     """
 
     version: int
@@ -47,7 +48,7 @@
         version: int,
         document: str,
     ) -> Self:
-        """Build from a checked document."""
+        """Build from a validated document."""
         return cls(
             version=version,
             document=document,
@@ -68,14 +69,14 @@
 
     @classmethod
     def empty(cls) -> Self:
-        """Give the state before any document was read; version 0."""
+        """Return the state before any document was read; its version is 0."""
         return cls(0, '', {}, {}, {}, {})
 
     def team_of_key(self, key: str) -> Team | None:
         """Find the team that a bearer key belongs to.
 
-        The look-up is by digest, so its duration tells nothing of the key;
-        the comparison that decides takes constant time.
+        The lookup uses the digest, so its duration reveals nothing about the
+        key. The final comparison takes constant time.
         """
         digest = hashlib.sha256(key.encode(ENCODING)).hexdigest()
         team = self.teams_by_key.get(digest)
@@ -84,7 +85,7 @@
         return team
 
     def upstreams_of(self, service: str) -> tuple[Upstream, ...]:
-        """List a service's upstreams."""
+        """List the upstreams of a service."""
         return tuple(
             each for each in self.upstreams.values() if each.service == service
         )
@@ -95,23 +96,26 @@
     *,
     version: int,
 ) -> Result[Configuration, tuple[DocumentError, ...]]:
-    """Check a document and build the configuration from it.
+    """Validate a document and build the configuration from it.
 
-    :returns: the configuration, or every error with its path.
+    :param version: of the document in the store.
+    :returns: the configuration, or all errors with their paths.
     """
     try:
         raw = json.loads(document)
     except ValueError as error:
         return Err((DocumentError('', f'not JSON: {error}'),))
     try:
-        checked = DOCUMENT_SCHEMA(raw)
+        validated = DOCUMENT_SCHEMA(raw)
     except vol.MultipleInvalid as invalid:
         return Err(tuple(map(_to_error, invalid.errors)))
-    errors = cross_check(checked)
+    errors = cross_check(validated)
     if errors:
         return Err(errors)
     return Ok(
-        Configuration.from_config(checked, version=version, document=document),
+        Configuration.from_config(
+            validated, version=version, document=document
+        ),
     )
 
 
--- a/hornbeamdeck/version/entities.py
+++ b/hornbeamdeck/version/entities.py
@@ -1,4 +1,4 @@
-"""The things that a configuration speaks of."""
+"""Entities defined in a configuration."""
 
 import posixpath
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 
 
 class Tier(NamedTuple):
-    """A tier of work; a lower rank goes first."""
+    """A tier of requests; a lower rank is served first."""
 
     name: str
     rank: int
@@ -26,14 +26,14 @@
 
 
 class NonIdempotent(NamedTuple):
-    """Calls that may run at most once."""
+    """Calls that may run at most once, by method and path prefix."""
 
     method: str
     path_prefix: str
 
 
 class Service(NamedTuple):
-    """What callers ask for by name."""
+    """A service that callers request by name."""
 
     name: str
     kind: str
@@ -42,11 +42,11 @@
 
     @classmethod
     def from_config(cls, raw: Mapping[str, Any]) -> Self:
-        """Build from a checked section of the document."""
-        marks = tuple(
-            NonIdempotent(**mark) for mark in raw[CONF_NON_IDEMPOTENT]
+        """Build from a validated section of the document."""
+        non_idempotent = tuple(
+            NonIdempotent(**calls) for calls in raw[CONF_NON_IDEMPOTENT]
         )
-        return cls(**{**raw, CONF_NON_IDEMPOTENT: marks})
+        return cls(**{**raw, CONF_NON_IDEMPOTENT: non_idempotent})
 
     @property
     def is_model(self) -> bool:
@@ -54,22 +54,22 @@
         return self.kind == KIND_MODEL
 
     def may_repeat(self, method: str, path: str) -> bool:
-        """Whether a call may safely run twice.
+        """Whether a call may run more than once.
 
-        An upstream may take `//Bookings`, `/%62ookings` or `/x/../bookings`
-        for `/bookings`; unless such a path is matched like the plain one, a
-        booking written that way would pass without a claim.
+        Paths are normalized first. An upstream may treat `//Bookings`,
+        `/%62ookings` or `/x/../bookings` as `/bookings`; without normalizing,
+        a booking sent to such a path would run without a claim.
         """
-        plain_path = _plain_path(path)
+        normalized = _normalize_path(path)
         return not any(
-            method == mark.method
-            and plain_path.startswith(_plain_path(mark.path_prefix))
-            for mark in self.non_idempotent
+            method == calls.method
+            and normalized.startswith(_normalize_path(calls.path_prefix))
+            for calls in self.non_idempotent
         )
 
 
 class Team(NamedTuple):
-    """A customer's group of callers with a key of its own."""
+    """A group of a customer's callers that shares one key."""
 
     name: str
     key_sha256: str
@@ -79,13 +79,13 @@
 
     @classmethod
     def from_config(cls, raw: Mapping[str, Any]) -> Self:
-        """Build from a checked section of the document."""
+        """Build from a validated section of the document."""
         lists = {name: tuple(raw[name]) for name in (CONF_TIERS, CONF_SERVICES)}
         return cls(**{**raw, **lists})
 
 
 class Upstream(NamedTuple):
-    """A model engine or a plain service's server."""
+    """A model engine, or a server of a plain service."""
 
     name: str
     service: str
@@ -96,11 +96,11 @@
 
     @classmethod
     def from_config(cls, raw: Mapping[str, Any]) -> Self:
-        """Build from a checked section of the document."""
+        """Build from a validated section of the document."""
         return cls(
             **{**raw, CONF_ADDRESS: Address.from_text(raw[CONF_ADDRESS])}
         )
 
 
-def _plain_path(path: str) -> str:
+def _normalize_path(path: str) -> str:
     return posixpath.normpath(f'/{unquote(path).lstrip("/")}').casefold()
--- a/hornbeamdeck/version/routed.py
+++ b/hornbeamdeck/version/routed.py
@@ -1,4 +1,4 @@
-"""Routes, services, teams and limits of one routed configuration."""
+"""Configuration for routed requests: routes, services, teams, limits."""
 
 import enum
 import hashlib
@@ -19,7 +19,7 @@
     'key_digest',
 )
 
-# What a caller may cost until a configuration says otherwise.
+# Limits for one caller until a configuration sets others.
 DEFAULT_HEADER_BYTES: Final = 16_384
 DEFAULT_BODY_BYTES: Final = 4_194_304
 DEFAULT_HEADER_MS: Final = 3000
@@ -27,7 +27,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done again with a route's requests."""
+    """Whether and how a request of a route may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -35,21 +35,26 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service that a route leads to, and its part of the requests."""
+    """A service behind a route, and its share of the route's requests.
+
+    :param weight: relative to the other services of the route.
+    """
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where the requests of a host and a path go, and what they are promised.
+    """Services and objectives for the requests of a host and a path.
 
     :param path_prefix: begins and ends with a slash.
-    :param objective_ms: an answer that begins later counts as late.
-    :param gap_ms: longest pause in a stream that is on time; 0: no stream.
-    :param timeout_ms: longest time that a request may be kept, milliseconds.
-    :param priority: rank, 0 goes first.
-    :param max_dispatches: upstreams that one request may be sent to.
+    :param objective_ms: a response that begins later counts as late.
+    :param gap_ms: longest gap between two events of a stream that is on time,
+        milliseconds; 0: the route has no streams.
+    :param timeout_ms: longest time that a request may take, milliseconds.
+    :param priority: rank; 0 is served first.
+    :param max_dispatches: largest number of upstreams that one request may be
+        sent to.
     """
 
     name: str
@@ -67,7 +72,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether answers are streams of events."""
+        """Whether the responses are event streams."""
         return self.kind == RouteKind.STREAMING
 
     @property
@@ -78,23 +83,23 @@
     def pick_service(self, draw: float) -> str:
         """Choose a service by weight.
 
-        :param draw: uniform in [0, 1).
+        :param draw: random number, uniform in [0, 1).
         """
-        left = draw * sum(share.weight for share in self.shares)
+        remaining = draw * sum(share.weight for share in self.shares)
         for share in self.shares:
-            left -= share.weight
-            if left < 0:
+            remaining -= share.weight
+            if remaining < 0:
                 return share.service
         return self.shares[-1].service
 
 
 class RoutedTeam(NamedTuple):
-    """A customer's group of callers and its limit.
+    """A group of a customer's callers, and its quota.
 
-    :param rate_per_s: tokens a second; 0: no limit.
-    :param burst: tokens that may be spent at once beyond the rate.
-    :param plain_tokens: what a request without token counts counts as.
-    :param priority: goes before the route's where there is one.
+    :param priority: replaces the priority of the route; `None`: it does not.
+    :param rate_per_s: tokens per second; 0: no limit.
+    :param burst: tokens that may be spent at once in excess of the rate.
+    :param plain_tokens: tokens charged for a request without token counts.
     """
 
     name: str
@@ -105,11 +110,12 @@
 
 
 class EngineTraits(NamedTuple):
-    """What a configuration says of the engines of one service.
+    """Configured properties of the engines of one service.
 
-    :param slots: requests that one engine works on at once; 0: not said.
-    :param tokens_per_event: tokens in one event of a stream; 0: no model.
-    :param memory_tokens: tokens that fit an engine's memory; 0: no model.
+    :param slots: requests that one engine runs at once; 0: not configured.
+    :param tokens_per_event: tokens in one stream event; 0: not a model.
+    :param memory_tokens: tokens that fit into an engine's memory; 0: not a
+        model.
     """
 
     slots: int
@@ -123,7 +129,7 @@
 
 
 class EdgeLimits(NamedTuple):
-    """What one caller may cost at the edge."""
+    """Limits on the requests of one caller."""
 
     max_header_bytes: int = DEFAULT_HEADER_BYTES
     max_body_bytes: int = DEFAULT_BODY_BYTES
@@ -132,10 +138,10 @@
 
 
 class RoutedConfiguration(NamedTuple):
-    """One version of the configuration, made for look-ups.
+    """One version of the configuration, indexed for lookups.
 
-    :param version: revision of the stored document; 0: none is known yet.
-    :param document: the text that it was read from, to pass on to peers.
+    :param version: revision of the stored document; 0: none was read yet.
+    :param document: the text that it was parsed from, sent on to peers.
     :param routes: by host, then by path prefix.
     :param teams_by_key: by digest of the bearer key.
     """
@@ -150,20 +156,20 @@
 
     @classmethod
     def empty(cls) -> Self:
-        """Make the configuration of a process that knows none."""
-        nothing: Mapping[str, RoutedTeam] = MappingProxyType({})
+        """Return the configuration of a process that has not read one yet."""
+        no_teams: Mapping[str, RoutedTeam] = MappingProxyType({})
         return cls(
             version=0,
             document='',
             routes=MappingProxyType({}),
             services=MappingProxyType({}),
-            teams_by_key=nothing,
-            teams=nothing,
+            teams_by_key=no_teams,
+            teams=no_teams,
             limits=EdgeLimits(),
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix that begins the path."""
+        """Find the route with the longest prefix of the path."""
         routes = self.routes.get(host)
         if routes is None:
             return None
@@ -176,10 +182,10 @@
         return None
 
     def team_of_key(self, key: str) -> RoutedTeam | None:
-        """Find the team that holds a bearer key."""
+        """Find the team that a bearer key belongs to."""
         return self.teams_by_key.get(key_digest(key))
 
 
 def key_digest(key: str) -> str:
-    """Hash a bearer key, so that a dump of memory or logs shows none."""
+    """Hash a bearer key, so that memory dumps and logs contain no keys."""
     return hashlib.sha256(key.encode(ENCODING, 'replace')).hexdigest()
--- a/hornbeamdeck/version/schema.py
+++ b/hornbeamdeck/version/schema.py
@@ -1,4 +1,4 @@
-"""Shape of the configuration document, checked by voluptuous."""
+"""Schema of the configuration document."""
 
 from typing import Final
 
