--- a/hornbeamdeck/wire/codec.py
+++ b/hornbeamdeck/wire/codec.py
@@ -1,4 +1,4 @@
-"""Thrift binary encoding of an envelope in a length-prefixed frame."""
+"""Thrift binary encoding of envelopes in length-prefixed frames."""
 
 import struct
 from collections.abc import Mapping
@@ -41,11 +41,11 @@
     'encode_frame',
 )
 
-# A stranger may make this process hold so much before it has proved itself;
-# a peer may send a configuration document.
+# Bounds the memory that a peer can occupy before it is authenticated.
 MAX_HANDSHAKE_BYTES: Final = 4096
+# An authenticated peer may send a complete configuration document.
 MAX_FRAME_BYTES: Final = 2_097_152
-_READ_FAILURES: Final = (
+_DECODE_ERRORS: Final = (
     TException,
     EOFError,
     ValueError,
@@ -74,7 +74,7 @@
     | EngineList
 )
 
-_FIELDS: Final[Mapping[type, str]] = MappingProxyType(
+_ENVELOPE_FIELDS: Final[Mapping[type, str]] = MappingProxyType(
     {
         Hello: 'hello',
         Proof: 'proof',
@@ -96,7 +96,7 @@
 
 
 class MalformedFrame(NamedTuple):
-    """Bytes from a peer that are no message."""
+    """Bytes from a peer that can't be decoded."""
 
     cause: str
 
@@ -107,12 +107,16 @@
     configuration_version: int = 0,
     clock_us: int = 0,
 ) -> bytes:
-    """Write a message with its length before it."""
+    """Encode a message in an envelope, with the length in front.
+
+    :param configuration_version: in force at the sender.
+    :param clock_us: stamp of the sender's hybrid clock, microseconds.
+    """
     envelope = Envelope(
         configuration_version=configuration_version,
         clock_us=clock_us,
     )
-    setattr(envelope, _FIELDS[type(message)], message)
+    setattr(envelope, _ENVELOPE_FIELDS[type(message)], message)
     buffer = TMemoryBuffer()
     envelope.write(TBinaryProtocolAccelerated(buffer))
     encoded: bytes = buffer.getvalue()
@@ -120,11 +124,11 @@
 
 
 def decode_frame(encoded: bytes) -> Result[Envelope, MalformedFrame]:
-    """Read an envelope from a frame's bytes without the length.
+    """Decode an envelope from a frame without its length.
 
-    A peer of another version, or no peer at all, sends what the generated
-    reader fails on in many ways; each must cost that peer its connection
-    and this process nothing.
+    Bytes from a peer of another version, or from a sender that is not a peer,
+    make the generated code raise many kinds of exception. Each becomes an
+    error value, so that only the connection to that sender ends.
     """
     envelope = Envelope()
     protocol = TBinaryProtocolAccelerated(
@@ -136,18 +140,18 @@
         envelope.read(protocol)
         envelope.validate()
         body_of(envelope).validate()
-    except _READ_FAILURES as error:
+    except _DECODE_ERRORS as error:
         return Err(MalformedFrame(repr(error)))
     return Ok(envelope)
 
 
 def body_of(envelope: Envelope) -> Message:
-    """Take the message out of its envelope.
+    """Return the message in an envelope.
 
-    :raises ValueError: where there is none.
+    :raises ValueError: if there is none.
     """
-    for field in _FIELDS.values():
+    for field in _ENVELOPE_FIELDS.values():
         message = getattr(envelope, field)
         if message is not None:
             return message
-    raise ValueError('an envelope without a message')
+    raise ValueError('envelope without a message')
--- a/hornbeamdeck/wire/enums.py
+++ b/hornbeamdeck/wire/enums.py
@@ -1,4 +1,4 @@
-"""The enumerations of `peer.thrift` as Python ones."""
+"""The enumerations of `peer.thrift` as Python enumerations."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class RefusalReason(enum.IntEnum):
-    """Why an owner gives a request up."""
+    """Why an owner refuses a request."""
 
     DEADLINE = ttypes.RefusalReason.DEADLINE
     OVERLOADED = ttypes.RefusalReason.OVERLOADED
@@ -20,7 +20,7 @@
 
 
 class RunEnd(enum.IntEnum):
-    """How a run ended, as its ingress tells the owner."""
+    """How a run ended, as its ingress reports it to the owner."""
 
     ANSWERED = ttypes.RunEnd.ANSWERED
     FAILED = ttypes.RunEnd.FAILED
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -19,7 +19,9 @@
 
 
 @given(st.text(max_size=40), NUMBERS, NUMBERS)
-def test_what_is_sent_is_received(name: str, tokens: int, version: int) -> None:
+def test_message_survives_encoding_and_decoding(
+    name: str, tokens: int, version: int
+) -> None:
     sent = Enqueue(
         request_id=name,
         cell='desk',
@@ -38,17 +40,18 @@
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_an_error_value(garbage: bytes) -> None:
-    """A peer of another build, or a scanner, sends bytes that are no message.
-    Were that an exception, one such peer could end a task others depend on.
+def test_undecodable_bytes_are_an_error_value(garbage: bytes) -> None:
+    """Guards against an exception for bytes that are no message, as a peer of
+    another version or a port scanner sends them. It could end a task that
+    other connections depend on.
     """
     assert decode_frame(garbage).is_err()
 
 
 @given(drawn=st.data())
 def test_damaged_frames_never_raise(drawn: st.DataObject) -> None:
-    """A frame is cut or changed on its way. It decodes to a whole message or
-    to an error, never to an exception or to a message with parts missing.
+    """Guards against exceptions and incomplete messages from a frame that was
+    truncated or changed in transit.
     """
     sent = Release(
         request_id='r1',
@@ -57,8 +60,8 @@
         total_ms=12,
     )
     frame = bytearray(encode_frame(sent)[LENGTH.size :])
-    place = drawn.draw(st.integers(0, len(frame) - 1))
-    frame[place] = drawn.draw(st.integers(0, 255))
+    position = drawn.draw(st.integers(0, len(frame) - 1))
+    frame[position] = drawn.draw(st.integers(0, 255))
     cut = drawn.draw(st.integers(0, len(frame)))
     decoded = decode_frame(bytes(frame[:cut]))
     if decoded.is_ok():
