--- a/examples/claim.py
+++ b/examples/claim.py
@@ -1,4 +1,4 @@
-"""Runs a payment once, however often and by whomever it is sent."""
+"""Runs a payment at most once, although it is sent twice."""
 
 import curio
 
@@ -17,7 +17,7 @@
 
 
 async def async_pay(claims: Claims, payments: list[str]) -> str:
-    """Pay, unless somebody has paid under this key."""
+    """Pay, unless a payment with this idempotency key has already run."""
     call = ClaimCall('claims/shop/42', 'digest-of-the-call', now_ms() + 2000)
     match (await claims.async_claim(call)).unwrap():
         case Once() as once:
@@ -29,16 +29,16 @@
 
 
 async def async_main() -> None:
-    """Send one payment from two places."""
+    """Send the same payment over two clients."""
     _, listener = await async_setup_platform(Address('127.0.0.1', 0))
     background = Background()
     payments: list[str] = []
     for _ in range(2):
-        platform = PlatformClient(listener.address)
-        receipt = await async_pay(Claims(platform, background), payments)
+        store = PlatformClient(listener.address)
+        receipt = await async_pay(Claims(store, background), payments)
         while background.pending:
             await curio.sleep(0.01)
-        await platform.async_close()
+        await store.async_close()
         print(receipt, 'after', len(payments), 'payment')
     await listener.async_unload()
 
--- a/examples/lease.py
+++ b/examples/lease.py
@@ -1,4 +1,4 @@
-"""Two contenders for one lease; the second gets it after the first is gone."""
+"""Two clients compete for a lease; the second gets it when it expires."""
 
 import curio
 
@@ -14,11 +14,11 @@
 
 
 async def async_main() -> None:
-    """Let the first holder fall silent."""
+    """Let the first holder stop renewing its lease."""
     _, listener = await async_setup_platform(Address('127.0.0.1', 0))
-    platform = PlatformClient(listener.address)
+    store = PlatformClient(listener.address)
     first, second = (
-        Lease(platform, 'leases/orders', name, terms=TERMS)
+        Lease(store, 'leases/orders', name, terms=TERMS)
         for name in ('first', 'second')
     )
     await first.async_try()
@@ -27,7 +27,7 @@
         await curio.sleep(0.05)
     print('first holds', first.is_held, '- second holds', second.is_held)
     print('token grew', second.fencing_token > first.fencing_token)
-    await platform.async_close()
+    await store.async_close()
     await listener.async_unload()
 
 
--- a/hornbeamdeck/__init__.py
+++ b/hornbeamdeck/__init__.py
@@ -1,4 +1,4 @@
-"""Request scheduler for unlike engines."""
+"""Request scheduler for heterogeneous engines."""
 
 from typing import Final
 
--- a/hornbeamdeck/__main__.py
+++ b/hornbeamdeck/__main__.py
@@ -1,4 +1,4 @@
-"""Entry of `python -m hornbeamdeck` and of the zipapp."""
+"""Entry point of `python -m hornbeamdeck` and of the zipapp."""
 
 from hornbeamdeck.cli import main
 
--- a/hornbeamdeck/clock.py
+++ b/hornbeamdeck/clock.py
@@ -1,4 +1,4 @@
-"""Milliseconds since the machine started, and limits on how long work takes."""
+"""Milliseconds since the machine started, and time limits for coroutines."""
 
 import time
 from collections.abc import Coroutine
@@ -12,29 +12,30 @@
 
 _NANOS_PER_MILLI: Final = 1_000_000
 
-_Outcome = TypeVar('_Outcome')
+_Returned = TypeVar('_Returned')
 
 
 def now_ms() -> float:
-    """Tell the time since an arbitrary start, never set back.
+    """Return a monotonic time in milliseconds, from an arbitrary start.
 
-    It runs on while the machine is suspended. On a clock that stands still
-    meanwhile, a process that wakes would hold leases and proofs that ran out
-    during its sleep for fresh.
+    The clock continues while the machine is suspended. With a clock that
+    stops, a process that resumes would treat leases and freshness
+    confirmations that expired meanwhile as valid.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / _NANOS_PER_MILLI
 
 
 async def async_within(
     limit_ms: float,
-    work: Coroutine[Any, Any, _Outcome],
-) -> _Outcome:
-    """Wait for work, at most so long.
+    work: Coroutine[Any, Any, _Returned],
+) -> _Returned:
+    """Run a coroutine with a time limit and return its result.
 
     :param limit_ms: milliseconds.
-    :raises curio.errors.TaskTimeout: where it was not done; it is cancelled.
+    :raises curio.errors.TaskTimeout: if the limit passed; the coroutine is
+        cancelled.
     """
     return cast(
-        _Outcome,
+        _Returned,
         await timeout_after(limit_ms / MILLIS_PER_SECOND, work),
     )
--- a/hornbeamdeck/const.py
+++ b/hornbeamdeck/const.py
@@ -1,4 +1,4 @@
-"""Constants that more than one part uses."""
+"""Constants shared by several packages."""
 
 from typing import Final
 
--- a/hornbeamdeck/coordination/__init__.py
+++ b/hornbeamdeck/coordination/__init__.py
@@ -1,6 +1,6 @@
-"""The coordination parts for embedding; none of them needs the daemon.
+"""Coordination classes for use in other programs, without the daemon.
 
-`docs/coordination.md` has a page on each, `examples/` a program.
+`docs/coordination.md` describes each; `examples/` holds programs.
 """
 
 from hornbeamdeck.connection.address import Address
--- a/hornbeamdeck/hybrid_clock.py
+++ b/hornbeamdeck/hybrid_clock.py
@@ -1,8 +1,8 @@
-"""Hybrid logical clock: stamps that order what one process told another.
+"""Hybrid logical clock: stamps that order events across processes.
 
-A stamp is wall-clock microseconds, moved on where needed so that it exceeds
-every stamp given or seen before. Events over all processes so sort in an order
-that never puts an effect before its cause, though wall clocks differ.
+A stamp is the wall clock in microseconds, advanced where needed so that it
+exceeds every stamp issued or observed before. Sorted by stamp, an effect never
+comes before its cause, although the wall clocks of the processes differ.
 """
 
 import time
@@ -12,7 +12,7 @@
 __all__ = ('HybridClock',)
 
 NANOS_PER_MICRO: Final = 1000
-MAX_AHEAD_US: Final = 60_000_000
+MAX_STAMP_LEAD_US: Final = 60_000_000
 
 
 def _wall_us() -> int:
@@ -20,26 +20,27 @@
 
 
 class HybridClock:
-    """The clock of one process.
+    """The hybrid logical clock of one process.
 
-    :param wall_us: tells the wall clock, microseconds.
+    :param wall_us: returns the wall clock, microseconds.
     """
 
     def __init__(self, wall_us: Callable[[], int] = _wall_us) -> None:
-        """Start at the wall clock."""
+        """Start with no stamp issued or observed."""
         self._wall_us = wall_us
         self._last_us = 0
 
     def stamp(self) -> int:
-        """Give a stamp for an event here or for a message about to go out."""
+        """Return a stamp for a local event or a message to be sent."""
         self._last_us = max(self._last_us + 1, self._wall_us())
         return self._last_us
 
     def observe(self, stamp_us: int) -> None:
-        """Take in the stamp of a message.
+        """Advance past the stamp of a received message.
 
-        One that is over a minute ahead is not taken in: a single process with
-        a broken wall clock would carry every other one along for good.
+        A stamp more than a minute ahead of the wall clock is ignored.
+        Otherwise one process with a broken wall clock would permanently
+        advance the clocks of all others.
         """
-        if stamp_us <= self._wall_us() + MAX_AHEAD_US:
+        if stamp_us <= self._wall_us() + MAX_STAMP_LEAD_US:
             self._last_us = max(self._last_us, stamp_us)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The programs that the pages show."""
+"""The example programs and files that the documentation shows."""
 
 import pathlib
 import subprocess
@@ -26,23 +26,23 @@
 
 
 @pytest.mark.parametrize('name', sorted(EXPECTED))
-def test_example_prints_what_its_page_says(name: str) -> None:
-    ran = subprocess.run(
+def test_example_prints_the_documented_output(name: str) -> None:
+    completed = subprocess.run(
         [sys.executable, EXAMPLES / name],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert ran.stdout == EXPECTED[name]
+    assert completed.stdout == EXPECTED[name]
 
 
 def test_every_example_is_run() -> None:
     assert {each.name for each in EXAMPLES.glob('*.py')} == set(EXPECTED)
 
 
-def test_parts_come_without_the_daemon() -> None:
-    """A project embeds the lease alone. Were the whole daemon imported with
-    it, that project would pay its memory and meet its names.
+def test_coordination_does_not_import_the_daemon() -> None:
+    """Guards against importing the whole daemon into a program that embeds
+    only the lease, with the daemon's memory and names.
     """
     code = (
         'import sys, hornbeamdeck.coordination as c\n'
@@ -51,17 +51,17 @@
         '"hornbeamdeck.process.instance", "hornbeamdeck.cli",\n'
         '"hornbeamdeck.process.scheduler")])'
     )
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-c', code],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert ran.stdout == '[]\n'
+    assert completed.stdout == '[]\n'
 
 
-def test_example_files_pass_the_checks() -> None:
-    """A newcomer follows the README; its files must be taken as they are."""
+def test_example_files_are_valid() -> None:
+    """The README uses these files; they must be accepted unchanged."""
     assert load_settings(str(EXAMPLES / 'instance.json')).is_ok()
     document = (EXAMPLES / 'configuration.json').read_text()
     configuration = parse_document(document, version=1).unwrap()
--- a/tests/test_hybrid_clock.py
+++ b/tests/test_hybrid_clock.py
@@ -1,11 +1,11 @@
-"""Stamps over several processes whose wall clocks differ."""
+"""Stamps of processes whose wall clocks differ."""
 
 from functools import partial
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.hybrid_clock import MAX_AHEAD_US, HybridClock
+from hornbeamdeck.hybrid_clock import MAX_STAMP_LEAD_US, HybridClock
 
 STEPS = st.lists(
     st.tuples(
@@ -21,24 +21,27 @@
 def test_effect_is_stamped_after_its_cause(
     steps: list[tuple[int, int, int]],
 ) -> None:
-    """Wall clocks jump back and forth. A time line sorted by them would show
-    an answer before its question.
+    """Guards against an effect that sorts before its cause when wall clocks
+    jump back and forth, such as a response before its request.
     """
-    walls = [1_000_000, 1_000_000, 1_000_000]
-    clocks = [HybridClock(partial(walls.__getitem__, at)) for at in range(3)]
-    before = [0, 0, 0]
+    wall_clocks_us = [1_000_000, 1_000_000, 1_000_000]
+    clocks = [
+        HybridClock(partial(wall_clocks_us.__getitem__, index))
+        for index in range(3)
+    ]
+    last_stamps = [0, 0, 0]
     for sender, receiver, jump_us in steps:
-        walls[sender] += jump_us
+        wall_clocks_us[sender] += jump_us
         sent = clocks[sender].stamp()
-        assert sent > before[sender]
-        before[sender] = sent
+        assert sent > last_stamps[sender]
+        last_stamps[sender] = sent
         clocks[receiver].observe(sent)
         received = clocks[receiver].stamp()
-        assert received > max(sent, before[receiver])
-        before[receiver] = received
+        assert received > max(sent, last_stamps[receiver])
+        last_stamps[receiver] = received
 
 
-def test_broken_wall_clock_carries_nobody_along() -> None:
+def test_stamp_far_ahead_is_ignored() -> None:
     clock = HybridClock(lambda: 1_000_000)
-    clock.observe(1_000_000 + MAX_AHEAD_US + 1)
+    clock.observe(1_000_000 + MAX_STAMP_LEAD_US + 1)
     assert clock.stamp() == 1_000_000
