--- a/hornbeamdeck/process/attendance.py
+++ b/hornbeamdeck/process/attendance.py
@@ -1,4 +1,4 @@
-"""Which instances live, as beats show it."""
+"""Liveness of instances as derived from heartbeats."""
 
 from collections.abc import Callable, Iterable
 from typing import Final, NamedTuple
@@ -13,21 +13,23 @@
 
 __all__ = ('FLEET_CELL', 'INFORMED', 'Attendance', 'Heard')
 
-# All cells of the fleet have one owner today; this is what is hashed for it.
+# All cells of the fleet have one owner today, chosen by hashing this name.
 FLEET_CELL: Final = 'fleet'
-# How many of the first-ranked instances are kept informed.
+# How many of the first-ranked instances receive the heartbeats of all others.
 INFORMED: Final = 3
-# While this process is so young, it takes all it knows of for present.
-YOUNG_MS: Final = 2000
+# During this time after its start, this process assumes that all known
+# instances are live.
+STARTUP_GRACE_MS: Final = 2000
 # How long a computed share of the fleet is cached.
 SHARE_CACHE_MS: Final = 50
 
 
 class Heard(NamedTuple):
-    """The last beat of a peer.
+    """The last heartbeat of a peer.
 
-    :param stamp_ms: its clock when it sent the beat.
-    :param at_ms: this process's clock when it arrived.
+    :param stamp_ms: the peer's clock when it sent the heartbeat.
+    :param at_ms: this process's clock when the heartbeat arrived.
+    :param is_usable: whether the peer can serve requests.
     """
 
     stamp_ms: int
@@ -36,7 +38,7 @@
 
 
 class Attendance:
-    """Who has been heard of, here or by the owner."""
+    """Instances whose heartbeats reach this process or the owner."""
 
     def __init__(
         self,
@@ -44,55 +46,62 @@
         version: Callable[[], int],
         pace: BeatPace,
     ) -> None:
-        """Begin to count this process's age.
+        """Start counting this process's age.
 
-        :param version: tells the version of the configuration held here.
-        :param pace: how often instances of this fleet beat.
+        :param version: returns the configuration version held here.
+        :param pace: intervals of heartbeats in this fleet.
         """
         self.started_ms = now_ms()
         self._membership = membership
         self._version = version
         self._pace = pace
-        self._heard: dict[str, Heard] = {}
-        self._present: dict[str, frozenset[str]] = {}
+        self._last_heartbeats: dict[str, Heard] = {}
+        self._reported_live: dict[str, frozenset[str]] = {}
         self._share = 1.0
         self._share_until_ms = 0.0
 
     def hear(self, peer_id: str, stamp_ms: int, *, is_usable: bool) -> None:
-        """Note a beat of a peer.
+        """Record a heartbeat of a peer.
 
-        :param is_usable: whether it can serve.
+        :param is_usable: whether the peer can serve requests.
         """
-        self._heard[peer_id] = Heard(stamp_ms, now_ms(), is_usable)
+        self._last_heartbeats[peer_id] = Heard(stamp_ms, now_ms(), is_usable)
 
     def heard(self, peer_id: str) -> Heard:
-        """Give the last beat of a peer; stamp 0 where there is none."""
-        return self._heard.get(peer_id, Heard(0, now_ms(), is_usable=False))
+        """Return the last heartbeat of a peer; stamp 0 if there is none."""
+        return self._last_heartbeats.get(
+            peer_id, Heard(0, now_ms(), is_usable=False)
+        )
 
     def forget(self, peer_id: str) -> None:
-        """Take a peer for absent that has fallen silent."""
-        self._heard.pop(peer_id, None)
+        """Drop the last heartbeat of a peer that no longer answers."""
+        self._last_heartbeats.pop(peer_id, None)
 
-    def take_present(self, peer_id: str, present: Iterable[str]) -> None:
-        """Take over whom a peer has heard of; the owner's word counts."""
-        self._present[peer_id] = frozenset(present)
+    def take_present(self, peer_id: str, live_ids: Iterable[str]) -> None:
+        """Record the live instances that a peer reports.
+
+        Only the owner's report is used.
+        """
+        self._reported_live[peer_id] = frozenset(live_ids)
 
     def present(self) -> set[str]:
-        """Name the instances that live and can serve, as known here."""
+        """Return the ids of instances that are live and can serve."""
         own = self._membership.own
-        told = self._present.get(self._membership.owner_of(FLEET_CELL))
-        if told and not self._is_informed():
-            heard = set(told)
+        reported = self._reported_live.get(
+            self._membership.owner_of(FLEET_CELL)
+        )
+        if reported and not self._is_heartbeat_receiver():
+            live_ids = set(reported)
         else:
-            heard = self._recently_heard()
+            live_ids = self._recent_peers()
         if own.state == STATE_LIVE and self._version():
-            heard.add(own.instance_id)
+            live_ids.add(own.instance_id)
         else:
-            heard.discard(own.instance_id)
-        return heard
+            live_ids.discard(own.instance_id)
+        return live_ids
 
     def usable(self) -> list[InstanceStatus]:
-        """List the instances that callers may be sent to."""
+        """List the instances that may serve callers."""
         membership = self._membership
         statuses = map(membership.status_of, self.present())
         others = [
@@ -107,7 +116,7 @@
         return others
 
     def share(self) -> float:
-        """Tell which part of the known instances this one hears of.
+        """Return the share of known live instances with recent heartbeats.
 
         Cached, since each request reads it several times.
         """
@@ -118,32 +127,34 @@
         return self._share
 
     def rank(self) -> int:
-        """Tell this process's place among all instances, the owner's is 0."""
+        """Return this process's rank among all instances; the owner has 0."""
         own_id = self._membership.own.instance_id
         return self._membership.ranked(FLEET_CELL).index(own_id)
 
     def _compute_share(self, now: float) -> float:
-        if now - self.started_ms < YOUNG_MS:
-            # Nobody has had the time to be heard of.
+        if now - self.started_ms < STARTUP_GRACE_MS:
+            # Other instances have not had the time to send a heartbeat.
             return 1.0
         known = self._membership.known()
         live = sum(each.state == STATE_LIVE for each in known)
         since_ms = now - self._pace.present_ms
-        heard = sum(heard.at_ms > since_ms for heard in self._heard.values())
-        return min((heard + 1) / (live + 1), 1.0)
+        recent = sum(
+            last.at_ms > since_ms for last in self._last_heartbeats.values()
+        )
+        return min((recent + 1) / (live + 1), 1.0)
 
-    def _recently_heard(self) -> set[str]:
+    def _recent_peers(self) -> set[str]:
         now = now_ms()
         since_ms = now - self._pace.present_ms
-        heard = {
+        recent_ids = {
             peer_id
-            for peer_id, heard in self._heard.items()
-            if heard.is_usable and heard.at_ms > since_ms
+            for peer_id, last in self._last_heartbeats.items()
+            if last.is_usable and last.at_ms > since_ms
         }
-        if now - self.started_ms < YOUNG_MS:
+        if now - self.started_ms < STARTUP_GRACE_MS:
             known = self._membership.known()
-            heard |= {each.instance_id for each in known}
-        return heard
+            recent_ids |= {each.instance_id for each in known}
+        return recent_ids
 
-    def _is_informed(self) -> bool:
+    def _is_heartbeat_receiver(self) -> bool:
         return self.rank() < INFORMED
--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -1,9 +1,9 @@
-"""Which instances are live, as this process sees it.
+"""Live instances as seen by this process, and the owner of each cell.
 
 Three sources are merged: the status object that each instance writes once at
-start, the platform's lagging list, and what this process's own connections
-show. The last is the fastest; a suspicion lasts a few seconds and makes only
-this process turn to the next owner.
+start, the platform's instance list, which lags behind, and the state of this
+process's own connections. Connections show a failure first. The suspicion that
+follows lasts a few seconds and makes only this process use the next owner.
 """
 
 import json
@@ -23,15 +23,16 @@
 STATE_LEAVING: Final = 'leaving'
 STATE_LIVE: Final = 'live'
 UNLISTED_GRACE_MS: Final = 10_000
-# All statuses are written for each peer while any of them changes.
-CACHED_STATUSES: Final = 2048
+# After any status change, all status objects are serialized again for each
+# peer.
+STATUS_CACHE_SIZE: Final = 2048
 
 
 class InstanceStatus(NamedTuple):
-    """What an instance tells of itself, in the platform.
+    """Status object that an instance writes to the store.
 
     :param incarnation: differs for each start of the process.
-    :param cores: processor share that it may use; 0: not told.
+    :param cores: processor cores that it may use; 0: not reported.
     """
 
     instance_id: str
@@ -46,18 +47,18 @@
     def from_text(cls, text: str) -> Self:
         """Parse a status object.
 
-        :raises ValueError: where it is no status object.
+        :raises ValueError: if the text is not a status object.
         """
         return cls(*_decode(text))
 
     def to_text(self) -> str:
-        """Write the status object."""
+        """Serialize the status object to JSON."""
         return _encode(self)
 
 
-# Each of the first peers by rank sends the same status objects, and sends them
-# again after a reconnect.
-@lru_cache(maxsize=CACHED_STATUSES)
+# Cached, since each of the first peers by rank sends the same status objects
+# and sends them again after a reconnect.
+@lru_cache(maxsize=STATUS_CACHE_SIZE)
 def _decode(text: str) -> InstanceStatus:
     raw = json.loads(text)
     try:
@@ -72,7 +73,7 @@
         raise ValueError('not a status object') from error
 
 
-@lru_cache(maxsize=CACHED_STATUSES)
+@lru_cache(maxsize=STATUS_CACHE_SIZE)
 def _encode(status: InstanceStatus) -> str:
     return json.dumps(
         {
@@ -93,30 +94,31 @@
         suspect_ms: int = SUSPECT_MS,
         common_cell: str | None = None,
     ) -> None:
-        """Start knowing this process alone.
+        """Start with this process as the only member.
 
-        :param suspect_ms: how long an instance that showed dead is first
-            passed over, milliseconds.
-        :param common_cell: what is hashed for every cell, so that all have
-            one owner; `None`: each cell has its own.
+        :param suspect_ms: duration in milliseconds of the first suspicion of
+            an instance whose connection failed.
+        :param common_cell: name that is hashed in place of every cell's name,
+            so that all cells have one owner; `None`: each cell has its own.
         """
         self._common_cell = common_cell
         self._own = own
         self.suspects = Suspects(suspect_ms)
         self.is_published = False
-        # Counts what `note_status` took in, for who passes statuses on.
+        # Counts the calls of `note_status`. Code that forwards statuses to
+        # peers compares it to detect changes.
         self.changes = 0
         self._statuses: dict[str, InstanceStatus] = {}
         self._first_seen_ms: dict[str, float] = {}
-        self._listed: dict[str, str] = {}
-        self._listed_ms = -math.inf
+        self._listed_states: dict[str, str] = {}
+        self._list_read_ms = -math.inf
         self._owners: dict[str, str] = {}
-        self._owners_until_ms = 0.0
+        self._owners_valid_until_ms = 0.0
         self._ranked: dict[str, tuple[str, ...]] = {}
 
     @property
     def own(self) -> InstanceStatus:
-        """What this process tells of itself."""
+        """Status of this process."""
         return self._own
 
     @own.setter
@@ -126,7 +128,7 @@
         self._own = status
 
     def note_status(self, change: StoredObject) -> None:
-        """Take in a status object that was written or deleted."""
+        """Apply the write or deletion of a status object."""
         self.changes += 1
         self._owners.clear()
         self._ranked.clear()
@@ -145,29 +147,29 @@
         self._statuses[instance_id] = status
 
     def note_listed(self, listed: tuple[ListedInstance, ...]) -> None:
-        """Take in the platform's lagging list."""
+        """Replace the platform's instance list by a newly read one."""
         states = {each.address: each.state for each in listed}
-        if states != self._listed or self._has_unlisted_in_grace():
+        if states != self._listed_states or self._has_unlisted_in_list_grace():
             self._owners.clear()
-        self._listed = states
-        self._listed_ms = now_ms()
+        self._listed_states = states
+        self._list_read_ms = now_ms()
 
     def suspect(self, instance_id: str) -> None:
-        """Pass over an instance that a connection showed to be dead."""
+        """Suspect an instance whose connection failed."""
         self._owners.clear()
         self.suspects.add(instance_id)
 
     def clear(self, instance_id: str) -> None:
-        """Trust an instance again that has answered."""
+        """End the suspicion of an instance that has answered."""
         if self.suspects.remove(instance_id):
             self._owners.clear()
 
     def status_of(self, instance_id: str) -> InstanceStatus | None:
-        """Give what is known of an instance."""
+        """Return the status of another instance, `None` if unknown."""
         return self._statuses.get(instance_id)
 
     def live(self) -> list[InstanceStatus]:
-        """List live instances, this process among them while it stays."""
+        """List live instances, including this one unless it is draining."""
         now = now_ms()
         others = [
             status
@@ -175,52 +177,53 @@
             if status.instance_id != self.own.instance_id
             and self._is_live(status, now)
         ]
-        # Until its status is written nobody else counts this process among
-        # the owners; were it to count itself, its cells would have two.
+        # Until its status is published, no other instance counts this process
+        # as a possible owner. If it counted itself, its cells would have two
+        # owners.
         is_owner = self.is_published or not others
         if self.own.state == STATE_LIVE and is_owner:
             others.append(self.own)
         return others
 
     def note_published(self) -> None:
-        """Take note that the others can know of this process."""
+        """Record that this process's status is visible to other instances."""
         self._owners.clear()
         self.is_published = True
 
     def owner_of(self, cell: str) -> str:
-        """Pick the instance that owns a cell; itself where no other lives.
+        """Return the owner of a cell; this process if no other is live.
 
-        What was picked is kept until something changes that could change it:
-        to score hundreds of instances costs near a millisecond, and every
-        request asks.
+        The owner is cached until a change could affect it: scoring hundreds of
+        instances takes almost a millisecond, and every request needs the
+        owner.
         """
-        if now_ms() >= self._owners_until_ms:
+        if now_ms() >= self._owners_valid_until_ms:
             self._owners.clear()
         cell = self._common_cell or cell
         owner = self._owners.get(cell)
         if owner is None:
-            self._owners_until_ms = self.suspects.next_expiry_ms()
-            cores = _cores(self.live())
+            self._owners_valid_until_ms = self.suspects.next_expiry_ms()
+            cores = _cores_by_instance(self.live())
             owner = owner_of(cell, cores, cores.__getitem__)
             owner = owner or self.own.instance_id
             self._owners[cell] = owner
         return owner
 
     def ranked(self, cell: str) -> tuple[str, ...]:
-        """Order all known instances for a cell, suspected ones included.
+        """Rank all known instances for a cell, including suspected ones.
 
         Cached until the membership changes, since every instance reads the
-        order with each beat and several times a second otherwise.
+        order for each heartbeat and several times a second besides.
         """
         ranked = self._ranked.get(cell)
         if ranked is None:
-            cores = _cores((*self._statuses.values(), self.own))
+            cores = _cores_by_instance((*self._statuses.values(), self.own))
             ranked = tuple(ranking(cell, cores, cores.__getitem__))
             self._ranked[cell] = ranked
         return ranked
 
     def known(self) -> list[InstanceStatus]:
-        """List all other instances that are known, dead ones included."""
+        """List all other known instances, including those that are down."""
         return [
             status
             for status in self._statuses.values()
@@ -228,7 +231,12 @@
         ]
 
     def entries(self, caller: str, count: int) -> list[InstanceStatus]:
-        """Pick addresses for a caller: own zone first, spread over callers."""
+        """Select instances for a caller to use.
+
+        Instances in this process's availability zone come first. The order
+        within a zone depends on the caller, which spreads callers over the
+        instances.
+        """
         by_id = {status.instance_id: status for status in self.live()}
         ranked = [by_id[each] for each in ranking(caller, by_id)]
         ranked.sort(
@@ -239,10 +247,13 @@
         return ranked[:count]
 
     def leaving_addresses(self) -> list[str]:
-        """List what the platform says is leaving, upstreams included."""
+        """List addresses that the platform lists as draining.
+
+        The list covers upstreams as well as instances.
+        """
         return [
             address
-            for address, state in self._listed.items()
+            for address, state in self._listed_states.items()
             if state == STATE_LEAVING
         ]
 
@@ -251,30 +262,32 @@
             return False
         if status.instance_id in self.suspects:
             return False
-        listed = self._listed.get(str(status.address))
+        listed = self._listed_states.get(str(status.address))
         if listed is not None:
             return listed == STATE_LIVE
-        return self._is_in_grace(status)
-
-    def _is_in_grace(self, status: InstanceStatus) -> bool:
-        # The list lags: an instance that has just started is not on it yet.
-        # What counts is how old it was at the last reading: while the platform
-        # is down nothing can be concluded from an old list, and an instance
-        # that dropped its peers would take over all their cells.
+        return self._is_in_list_grace(status)
+
+    def _is_in_list_grace(self, status: InstanceStatus) -> bool:
+        # The instance list lags behind, so an instance that has just started
+        # is missing from it. The instance's age is taken at the time of the
+        # last successful read: an old list proves nothing while the platform
+        # is down, and an instance that dropped its peers because of it would
+        # take over all their cells.
         seen_ms = self._first_seen_ms[status.instance_id]
-        return self._listed_ms - seen_ms < UNLISTED_GRACE_MS
+        return self._list_read_ms - seen_ms < UNLISTED_GRACE_MS
 
-    def _has_unlisted_in_grace(self) -> bool:
+    def _has_unlisted_in_list_grace(self) -> bool:
         return any(
-            str(status.address) not in self._listed
-            and self._is_in_grace(status)
+            str(status.address) not in self._listed_states
+            and self._is_in_list_grace(status)
             for status in self._statuses.values()
         )
 
 
-def _cores(statuses: Iterable[InstanceStatus]) -> dict[str, float]:
-    """Tell what instances can carry, by which they rank before the hash.
+def _cores_by_instance(statuses: Iterable[InstanceStatus]) -> dict[str, float]:
+    """Map instances to their processor cores, which rank before the hash.
 
-    Owners serve the whole fleet; a small instance that owns is overrun.
+    An owner serves the whole fleet, and a small instance would be overloaded
+    as owner.
     """
     return {status.instance_id: status.cores for status in statuses}
--- a/hornbeamdeck/process/presence.py
+++ b/hornbeamdeck/process/presence.py
@@ -1,4 +1,4 @@
-"""Tells the platform of this instance, and learns of the others from it."""
+"""Publishes this instance's status and follows those of the others."""
 
 from typing import Final
 
@@ -20,7 +20,7 @@
 
 
 class Presence:
-    """Keeps the membership in step with the platform."""
+    """Synchronizes the membership with the store and the instance list."""
 
     def __init__(
         self,
@@ -29,42 +29,43 @@
         scheduler: Scheduler,
         grants: Grants,
     ) -> None:
-        """Take the parts that a change of membership concerns."""
+        """Use the parts that depend on the membership."""
         self._platform = platform
         self._membership = membership
         self._scheduler = scheduler
         self._grants = grants
 
     async def async_publish(self) -> None:
-        """Write the own status object, until it is written.
+        """Write this instance's status object, retrying until it is stored.
 
-        A status that has changed meanwhile is written by its own call.
+        Stop when the status has changed meanwhile: the change is written by a
+        call of its own.
         """
         waits = backoff_s()
         status = self._membership.own
         while status == self._membership.own:
-            if await self._async_write(status):
+            if await self._async_try_write(status):
                 self._membership.note_published()
                 return
             await sleep(next(waits))
 
     async def async_follow_statuses(self) -> None:
-        """Follow, for ever, what the others tell of themselves."""
+        """Follow the status objects of all instances, without end."""
         await async_follow(
             self._platform,
             PREFIX_INSTANCE,
-            self._async_note_status,
+            self._async_apply_status,
             role=ROLE,
         )
 
     async def async_poll_list(self) -> None:
-        """Read, for ever, the platform's list of live and leaving ones."""
+        """Read the platform's list of live and draining addresses, forever."""
         waits = backoff_s()
         while True:
             listed = await self._platform.async_instances(role=ROLE)
             if isinstance(listed, Err):
-                # A leaving upstream is to get nothing after a few seconds, so
-                # a failed reading is not made up for only a period later.
+                # A draining upstream must get no new work after a few seconds,
+                # so a failed read is retried before the next period.
                 await sleep(next(waits))
                 continue
             waits = backoff_s()
@@ -75,19 +76,19 @@
             await self._grants.async_review()
             await sleep(LIST_PERIOD_MS / MILLIS_PER_SECOND)
 
-    async def _async_write(self, status: InstanceStatus) -> bool:
+    async def _async_try_write(self, status: InstanceStatus) -> bool:
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
-        got = await self._platform.async_get(key, role=ROLE)
-        if isinstance(got, Err):
+        existing = await self._platform.async_get(key, role=ROLE)
+        if isinstance(existing, Err):
             return False
         written = await self._platform.async_put(
             key,
             status.to_text(),
-            expected=got.ok_value.version if got.ok_value else None,
+            expected=existing.ok_value.version if existing.ok_value else None,
             role=ROLE,
         )
         return not isinstance(written, Err)
 
-    async def _async_note_status(self, change: StoredObject) -> None:
+    async def _async_apply_status(self, change: StoredObject) -> None:
         self._membership.note_status(change)
         await self._grants.async_review()
--- a/hornbeamdeck/process/rendezvous.py
+++ b/hornbeamdeck/process/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: every process with one view picks the same member."""
+"""Rendezvous hashing.
+
+All processes with the same view of the members choose the same owner.
+"""
 
 import hashlib
 from collections.abc import Callable, Iterable
@@ -10,15 +13,15 @@
 __all__ = ('owner_of', 'ranking')
 
 _DIGEST_BYTES: Final = 8
-# Scores of members are asked for with each beat and look at the store.
-CACHED_SCORES: Final = 8192
+# Scores are needed for each heartbeat and for each scan of the store.
+SCORE_CACHE_SIZE: Final = 8192
 
 
-def _equal(_member: str) -> float:
+def _equal_capacity(_member: str) -> float:
     return 0
 
 
-@lru_cache(maxsize=CACHED_SCORES)
+@lru_cache(maxsize=SCORE_CACHE_SIZE)
 def _score(key: str, member: str) -> bytes:
     hashed = hashlib.blake2b(
         f'{key}\x00{member}'.encode(ENCODING),
@@ -30,14 +33,15 @@
 def ranking(
     key: str,
     members: Iterable[str],
-    capacity: Callable[[str], float] = _equal,
+    capacity: Callable[[str], float] = _equal_capacity,
 ) -> list[str]:
-    """Order members for a key, the owner first.
+    """Rank members for a key, the owner first.
 
-    A member that goes moves only the keys it owned, each to its second.
+    When a member is removed, only the keys that it owned move, each to its
+    second-ranked member.
 
-    :param capacity: what a member can carry; who can carry more goes before
-        all that can carry less.
+    :param capacity: returns a member's capacity; members with more capacity
+        rank before all members with less.
     """
     return sorted(
         members,
@@ -49,7 +53,7 @@
 def owner_of(
     key: str,
     members: Iterable[str],
-    capacity: Callable[[str], float] = _equal,
+    capacity: Callable[[str], float] = _equal_capacity,
 ) -> str | None:
-    """Pick the owner of a key; `None` without members."""
+    """Return the owner of a key; `None` without members."""
     return next(iter(ranking(key, members, capacity)), None)
--- a/hornbeamdeck/process/suspects.py
+++ b/hornbeamdeck/process/suspects.py
@@ -1,4 +1,4 @@
-"""Instances that a connection has shown to be dead, for a while each."""
+"""Instances suspected to be down after a connection to them failed."""
 
 import math
 from typing import Final, NamedTuple
@@ -12,47 +12,51 @@
 
 
 class _Suspicion(NamedTuple):
-    until_ms: float
-    period_ms: int
+    expires_ms: float
+    duration_ms: int
 
 
 class Suspects:
-    """Who is passed over; twice as long each time it shows dead again."""
+    """Suspected instances, each until its suspicion expires.
+
+    The suspicion of an instance lasts twice as long each time that it is
+    suspected again.
+    """
 
     def __init__(self, first_ms: int) -> None:
-        """Suspect nobody.
+        """Start without suspected instances.
 
-        :param first_ms: how long a first suspicion lasts, milliseconds.
+        :param first_ms: duration of a first suspicion in milliseconds.
         """
         self._first_ms = first_ms
         self._suspicions: dict[str, _Suspicion] = {}
 
     def __contains__(self, instance_id: str) -> bool:
-        """Whether an instance is passed over for now."""
+        """Return whether an instance is currently suspected."""
         suspicion = self._suspicions.get(instance_id)
-        return suspicion is not None and now_ms() < suspicion.until_ms
+        return suspicion is not None and now_ms() < suspicion.expires_ms
 
     def add(self, instance_id: str) -> None:
-        """Pass an instance over from now on."""
-        before = self._suspicions.get(instance_id)
-        period_ms = self._first_ms
-        if before is not None:
-            period_ms = min(before.period_ms * 2, MAX_SUSPECT_MS)
+        """Suspect an instance from now on."""
+        previous = self._suspicions.get(instance_id)
+        duration_ms = self._first_ms
+        if previous is not None:
+            duration_ms = min(previous.duration_ms * 2, MAX_SUSPECT_MS)
         self._suspicions[instance_id] = _Suspicion(
-            now_ms() + period_ms,
-            period_ms,
+            now_ms() + duration_ms,
+            duration_ms,
         )
 
     def remove(self, instance_id: str) -> bool:
-        """Trust an instance again.
+        """End the suspicion of an instance.
 
-        :returns: whether it was suspected before.
+        :returns: whether there was a suspicion, expired ones included.
         """
         return self._suspicions.pop(instance_id, None) is not None
 
     def next_expiry_ms(self) -> float:
-        """Tell when the next suspicion ends, on this process's clock."""
+        """Return when the next suspicion expires, on this process's clock."""
         now = now_ms()
-        expiries = (each.until_ms for each in self._suspicions.values())
-        coming = (each for each in expiries if each > now)
-        return min(coming, default=math.inf)
+        expiries = (each.expires_ms for each in self._suspicions.values())
+        future_expiries = (each for each in expiries if each > now)
+        return min(future_expiries, default=math.inf)
--- a/hornbeamdeck/process/told.py
+++ b/hornbeamdeck/process/told.py
@@ -1,4 +1,4 @@
-"""What peers have been told of instances, so that they are told the rest."""
+"""Tracks what was sent to each peer, so that only changes are sent."""
 
 from collections.abc import Callable, Iterable
 from typing import Final, NamedTuple
@@ -7,89 +7,89 @@
 
 __all__ = ('TELL_AGAIN_MS', 'Told')
 
-# How often a peer is told the same status object: each eighth beat, so that it
-# costs little and one that was lost is missed for no longer than callers keep
-# an addresses answer.
+# How often an unchanged status object is sent again to a peer: with each eighth
+# heartbeat, which costs little. A status that was lost is missing for no longer
+# than callers cache the response to an addresses request.
 TELL_AGAIN_MS: Final = 2000
 
 
-class _ToldStatus(NamedTuple):
-    """The own status object as a peer was told it.
-
-    :param at_ms: when.
-    """
+class _SentStatus(NamedTuple):
+    """Status object of this instance as last sent to a peer."""
 
     text: str
-    at_ms: float
+    sent_ms: float
 
 
-class _Known(NamedTuple):
+class _StatusSet(NamedTuple):
     """The status objects of all other instances.
 
-    :param changes: the membership's count of changes then.
+    :param changes: the membership's change count at that time.
     """
 
     changes: int
     statuses: frozenset[str]
 
 
-_NOTHING: Final = _Known(-1, frozenset())
+_EMPTY: Final = _StatusSet(-1, frozenset())
 
 
 class Told:
-    """Keeps for each peer what it lacks."""
+    """Determines for each peer what has not yet been sent to it."""
 
     def __init__(
         self,
         membership: Membership,
-        present: Callable[[], Iterable[str]],
+        live_ids: Callable[[], Iterable[str]],
     ) -> None:
-        """Have told nobody anything.
+        """Start as if nothing was sent to any peer.
 
-        :param present: names the instances that live and can serve.
+        :param live_ids: returns ids of instances that are live and can serve.
         """
         self._membership = membership
-        self._present = present
-        self._known = _NOTHING
-        self._told_known: dict[str, _Known] = {}
-        self._told_present: dict[str, frozenset[str]] = {}
-        self._told_status: dict[str, _ToldStatus] = {}
+        self._live_ids = live_ids
+        self._statuses = _EMPTY
+        self._sent_statuses: dict[str, _StatusSet] = {}
+        self._sent_live_ids: dict[str, frozenset[str]] = {}
+        self._sent_own_status: dict[str, _SentStatus] = {}
 
     def forget(self, peer_id: str) -> None:
-        """Tell a peer everything again."""
-        self._told_known.pop(peer_id, None)
-        self._told_present.pop(peer_id, None)
-        self._told_status.pop(peer_id, None)
+        """Forget what was sent to a peer, so that all is sent again."""
+        self._sent_statuses.pop(peer_id, None)
+        self._sent_live_ids.pop(peer_id, None)
+        self._sent_own_status.pop(peer_id, None)
 
     def untold_statuses(self, peer_id: str) -> list[str]:
-        """Give the status objects of others that a peer lacks."""
+        """Return status objects of other instances not yet sent to a peer."""
         changes = self._membership.changes
-        told = self._told_known.get(peer_id, _NOTHING)
-        if told.changes == changes:
+        sent = self._sent_statuses.get(peer_id, _EMPTY)
+        if sent.changes == changes:
             return []
-        if self._known.changes != changes:
+        if self._statuses.changes != changes:
             texts = (each.to_text() for each in self._membership.known())
-            self._known = _Known(changes, frozenset(texts))
-        self._told_known[peer_id] = self._known
-        return sorted(self._known.statuses - told.statuses)
+            self._statuses = _StatusSet(changes, frozenset(texts))
+        self._sent_statuses[peer_id] = self._statuses
+        return sorted(self._statuses.statuses - sent.statuses)
 
     def untold_status(self, peer_id: str, now: float) -> str:
-        """Give the own status object where a peer is to be told it.
+        """Return this instance's status object if it is due to be sent.
+
+        The status object takes up half of a heartbeat's bytes and hardly ever
+        changes. A heartbeat may be lost with its connection, so the status is
+        sent again after `TELL_AGAIN_MS`.
 
-        It is half of a beat's bytes and hardly ever changes. A beat may be
-        lost with its connection, so it is told again after a while.
+        :returns: an empty string if the peer needs no status now.
         """
         text = self._membership.own.to_text()
-        told = self._told_status.get(peer_id)
-        if told and told.text == text and now - told.at_ms < TELL_AGAIN_MS:
+        sent = self._sent_own_status.get(peer_id)
+        if sent and sent.text == text and now - sent.sent_ms < TELL_AGAIN_MS:
             return ''
-        self._told_status[peer_id] = _ToldStatus(text, now)
+        self._sent_own_status[peer_id] = _SentStatus(text, now)
         return text
 
     def untold_present(self, peer_id: str) -> list[str] | None:
-        """Name who is present, where that is not what a peer was told."""
-        present = frozenset(self._present())
-        if self._told_present.get(peer_id) == present:
+        """Return the live instances, `None` if unchanged for a peer."""
+        live_ids = frozenset(self._live_ids())
+        if self._sent_live_ids.get(peer_id) == live_ids:
             return None
-        self._told_present[peer_id] = present
-        return sorted(present)
+        self._sent_live_ids[peer_id] = live_ids
+        return sorted(live_ids)
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -1,4 +1,4 @@
-"""Which instances are live and who owns a cell."""
+"""Live instances and the owners of cells."""
 
 from typing import Any
 from unittest import mock
@@ -18,14 +18,14 @@
 
 
 def status(name: str, state: str = 'live') -> InstanceStatus:
-    """Make a status object's content."""
+    """Make the status of an instance."""
     port = 1000 + ord(name)
     address = Address('127.0.0.1', port)
     return InstanceStatus(name, address, address, f'zone-{name}', 'x', state)
 
 
 def stored(name: str, state: str = 'live') -> StoredObject:
-    """Make a status object."""
+    """Make the stored status object of an instance."""
     return StoredObject(f'instances/{name}', 1, status(name, state).to_text())
 
 
@@ -69,11 +69,12 @@
 
 
 @given(STEPS)
-def test_kept_owner_is_always_the_right_one(
+def test_cached_owner_and_ranking_match_recomputed_ones(
     steps: list[tuple[Any, ...]],
 ) -> None:
-    """The owner of a cell is remembered, to spare the hashing. Were it kept
-    past a change, requests would go to an instance that is gone.
+    """The owner of a cell is cached to save hashing. A cache entry that
+    outlives a membership change would send requests to an instance that has
+    gone.
     """
     clock = [0.0]
     with mock.patch.object(module, 'now_ms', lambda: clock[0]):
@@ -94,21 +95,22 @@
 
 
 @given(st.text(max_size=20), st.sets(st.text(max_size=8), min_size=2))
-def test_a_member_that_goes_moves_only_its_own_keys(
+def test_removing_a_member_moves_only_its_own_keys(
     key: str,
     members: set[str],
 ) -> None:
     order = ranking(key, members)
     assert owner_of(key, members) == order[0]
-    for gone in order[1:]:
-        assert owner_of(key, members - {gone}) == order[0]
+    for removed in order[1:]:
+        assert owner_of(key, members - {removed}) == order[0]
     assert owner_of(key, members - {order[0]}) == order[1]
 
 
-def test_peers_are_kept_while_no_list_can_be_read() -> None:
-    """The platform goes down just after an instance has started. Were its
-    peers dropped because an old list lacks them, it would think itself alone,
-    take every cell, and engines would get twice their limits all morning.
+def test_unlisted_peers_stay_live_until_the_list_is_read_again() -> None:
+    """The platform goes down just after an instance has started. If the
+    instance dropped its peers because an old list lacks them, it would consider
+    itself the only member and take over every cell. Engines would then get
+    twice their limits for the whole outage.
     """
     clock = [0.0]
     with mock.patch.object(module, 'now_ms', lambda: clock[0]):
@@ -122,9 +124,10 @@
         assert len(members.live()) == 1
 
 
-def test_entries_prefer_the_own_zone_and_spread() -> None:
-    """A hundred callers ask one instance which addresses to use. They must not
-    all be sent to the same one, nor to another zone while the own one serves.
+def test_entries_prefer_the_own_zone_and_spread_callers() -> None:
+    """A hundred callers request addresses from one instance. They must not all
+    get the same instance first, nor one in another zone while their own zone
+    has live instances.
     """
     members = Membership(status('a'))
     members.note_published()
@@ -138,20 +141,20 @@
     assert 25 < share < 75
 
 
-def test_leaving_instance_is_in_no_answer() -> None:
+def test_draining_instance_is_not_in_entries() -> None:
     members = Membership(status('a'))
     members.note_published()
     members.note_status(stored('b', 'leaving'))
     assert [each.instance_id for each in members.entries('x', 3)] == ['a']
 
 
-def test_what_can_carry_more_owns_before_all_that_can_carry_less() -> None:
-    """Guards against a fleet that is owned by one of its smallest instances."""
+def test_instance_with_most_cores_owns_cells_first() -> None:
+    """Guards against a fleet whose owner is one of its smallest instances."""
     members = Membership(status('a')._replace(cores=0.36))
     for name in NAMES[1:]:
         cores = 0.72 if name == 'd' else 0.36
-        told = status(name)._replace(cores=cores).to_text()
-        members.note_status(StoredObject(f'instances/{name}', 1, told))
+        text = status(name)._replace(cores=cores).to_text()
+        members.note_status(StoredObject(f'instances/{name}', 1, text))
     for number in range(50):
         cell = f'cell-{number}'
         assert members.owner_of(cell) == 'd'
@@ -161,7 +164,7 @@
         members.clear('d')
 
 
-def test_an_instance_that_does_not_tell_its_capacity_is_understood() -> None:
+def test_status_without_cores_is_parsed() -> None:
     """Guards against a fleet that ignores members of an earlier version."""
     text = '{"instance_id": "a", "address": "127.0.0.1:1", '
     text += '"peer_address": "127.0.0.1:1", "availability_zone": "z", '
