--- a/hornbeamdeck/process/beat_clock.py
+++ b/hornbeamdeck/process/beat_clock.py
@@ -1,9 +1,9 @@
-"""The stamps of beats, and what a peer's echo of one proves.
+"""Time stamps of heartbeats and the evaluation of their echoes.
 
-Clocks count from the boot of each machine, so a stamp of an earlier boot means
-another moment on this one's. Stamps therefore count from an origin that is
-drawn anew at each start: one of an earlier incarnation falls outside of this
-one's life and proves nothing.
+Clocks count from the boot of each machine, so a stamp from an earlier boot
+denotes another moment on the current clock. Stamps therefore count from a
+random origin that is drawn at each start: an echoed stamp of an earlier
+incarnation lies outside of this one's lifetime and is rejected.
 """
 
 import math
@@ -12,33 +12,35 @@
 
 __all__ = ('NEVER_MS', 'BeatClock', 'told_age_ms')
 
-# What stands for a proof that was never had, milliseconds.
+# Age in milliseconds that stands for "never confirmed".
 NEVER_MS: Final = 1_000_000_000
 
-MIN_ORIGIN_MS: Final = 10_000_000_000_000
-ORIGINS_MS: Final = 1_000_000_000_000_000
+_MIN_ORIGIN_MS: Final = 10_000_000_000_000
+_ORIGIN_RANGE_MS: Final = 1_000_000_000_000_000
 
 
 class BeatClock:
-    """Stamps the beats of one incarnation."""
+    """Generates the heartbeat stamps of one incarnation."""
 
     def __init__(self, now: float) -> None:
-        """Draw an origin; no stamp is 0, which stands for none."""
+        """Draw a random origin, so that no stamp is 0, which means none."""
         self._started_ms = int(now)
-        self._origin_ms = MIN_ORIGIN_MS + secrets.randbelow(ORIGINS_MS)
+        self._origin_ms = _MIN_ORIGIN_MS + secrets.randbelow(_ORIGIN_RANGE_MS)
 
     def stamp_ms(self, now: float) -> int:
-        """Give the stamp for a beat that is sent now."""
+        """Return the stamp for a heartbeat that is sent now."""
         return int(now) + self._origin_ms
 
     def asked_ms(self, echo_ms: int, age_ms: int, now: float) -> float | None:
-        """Tell when a question was sent at the latest, on this clock.
+        """Return a lower bound for when the peer's store request was sent.
+
+        The result is on this process's clock.
 
         :param echo_ms: the stamp that the peer echoes.
-        :param age_ms: how long before the echoed beat's arrival the question
-            was sent; negative where it was sent after that.
-        :returns: `None` where the echo is not one of this incarnation's stamps
-            or the question would lie in the future.
+        :param age_ms: how long before the arrival of the echoed heartbeat the
+            request was sent; negative if it was sent after the arrival.
+        :returns: `None` if the echo is not a stamp of this incarnation or the
+            request would lie in the future.
         """
         sent_ms = echo_ms - self._origin_ms
         if not self._started_ms <= sent_ms <= now:
@@ -48,7 +50,10 @@
 
 
 def told_age_ms(at_ms: float, confirmed_ms: float) -> int:
-    """Give the age of a proof at a moment as a beat tells it, rounded up."""
+    """Return a confirmation's age as sent in a heartbeat, rounded up.
+
+    :param at_ms: the time at which the age is taken.
+    """
     if math.isinf(confirmed_ms):
         return NEVER_MS
     return math.ceil(at_ms - confirmed_ms)
--- a/hornbeamdeck/process/beat_pace.py
+++ b/hornbeamdeck/process/beat_pace.py
@@ -1,10 +1,10 @@
-"""How often beats, probes and new links may go to the instances in front.
+"""Rate limits for heartbeats, probes and new connections between instances.
 
-All instances of a fleet talk to the same few. What each of them may do at its
-own pace in a fleet of a dozen overruns those few in a fleet of hundreds: first
-beats are late, then links are given up for silent and opened again by all at
-once, and the load of that outlasts whatever began it. So the pace falls with
-the size of the fleet.
+All instances of a fleet connect to the same few first-ranked ones. A rate per
+instance that suits a fleet of a dozen overloads those few in a fleet of
+hundreds: heartbeats arrive late, then connections are closed as silent and
+reopened by all instances at once, and that load lasts longer than its cause.
+The rate per instance therefore falls with the size of the fleet.
 """
 
 import random
@@ -15,54 +15,62 @@
 
 BEAT_MS: Final = 250
 BEAT_PER_INSTANCE_MS: Final = 4
-# Proofs grow older with each beat on their way; beyond this instances would
-# read the store for themselves between beats.
+# Freshness confirmations age with each heartbeat that passes them on. With a
+# longer interval, instances would read the store themselves between heartbeats.
 MAX_BEAT_MS: Final = 1000
-# Three beats and some: an instance that is silent for longer has stopped, is
-# cut off or so slow that waiting for it costs more than turning to the next.
+# Slightly more than three heartbeats: an instance that is silent for longer has
+# stopped, is cut off or is so slow that waiting for it costs more than using
+# the next owner.
 SILENT_BEATS: Final = 3.2
-# An instance counts as present for this long after its last beat, at least.
+# An instance counts as live for at least this long after its last heartbeat.
 PRESENT_MS: Final = 1500
-# How often a silent instance that ranks before the owner is tried again.
+# How often a silent instance that ranks before the owner is probed.
 PROBE_MS: Final = 1000
 PROBE_PER_INSTANCE_MS: Final = 30
-# Links that the whole fleet opens to one instance within a beat.
+# Connections that the whole fleet opens to one instance within a heartbeat
+# interval.
 LINKS_PER_BEAT: Final = 64
 
 
 class BeatPace:
-    """The pace for a fleet of the size that is known now."""
+    """Intervals and limits for the current size of the fleet."""
 
     def __init__(self, fleet_size: Callable[[], int]) -> None:
-        """Take what tells how many instances there are, this one included."""
+        """Derive the limits from the size of the fleet.
+
+        :param fleet_size: returns the number of instances, including this one.
+        """
         self._fleet_size = fleet_size
         self._probed_ms = 0.0
 
     @property
     def beat_ms(self) -> float:
-        """Time between two beats."""
-        paced_ms = BEAT_PER_INSTANCE_MS * self._fleet_size()
-        return min(max(BEAT_MS, paced_ms), MAX_BEAT_MS)
+        """Interval between two heartbeats."""
+        scaled_ms = BEAT_PER_INSTANCE_MS * self._fleet_size()
+        return min(max(BEAT_MS, scaled_ms), MAX_BEAT_MS)
 
     @property
     def present_ms(self) -> float:
-        """Time after its last beat for which an instance is present."""
+        """Time after its last heartbeat for which an instance is live."""
         return max(PRESENT_MS, self.silence_ms)
 
     @property
     def silence_ms(self) -> float:
-        """Time without an answer after which a peer is given up."""
+        """Time without a response after which a peer is considered lost."""
         return SILENT_BEATS * self.beat_ms
 
     def may_open_link(self) -> bool:
-        """Draw whether to open a link in this beat, for each link anew."""
+        """Decide at random whether to open a connection in this interval.
+
+        The decision is drawn separately for each connection.
+        """
         return random.random() * self._fleet_size() < LINKS_PER_BEAT
 
-    def probes(self, given_up: list[str], now: float) -> list[str]:
-        """Draw whom to try again of the peers that have been given up."""
+    def probes(self, lost_peers: list[str], now: float) -> list[str]:
+        """Select at random which lost peers to probe now."""
         probe_ms = max(PROBE_MS, PROBE_PER_INSTANCE_MS * self._fleet_size())
-        if not given_up or now - self._probed_ms <= probe_ms:
+        if not lost_peers or now - self._probed_ms <= probe_ms:
             return []
         self._probed_ms = now
-        most = max(LINKS_PER_BEAT // self._fleet_size(), 1)
-        return random.sample(given_up, min(most, len(given_up)))
+        limit = max(LINKS_PER_BEAT // self._fleet_size(), 1)
+        return random.sample(lost_peers, min(limit, len(lost_peers)))
--- a/hornbeamdeck/process/beats.py
+++ b/hornbeamdeck/process/beats.py
@@ -1,10 +1,13 @@
-"""Beats between instances: who lives, what the store holds, how fresh.
+"""Heartbeats between instances.
 
-Every instance beats to the few that rank first for the fleet's cells, the
-owner among them, and these answer. So each instance has links to the next
-owners before it needs them, those know of all others, and what one instance
-has read from the store reaches all within two beats. Messages grow with the
-fleet, not with its square, and reads of the store do not grow at all.
+Heartbeats carry liveness, the version of the store's contents that the sender
+holds, and when that version was last confirmed. Every instance sends
+heartbeats to the few that rank first for the fleet's cells, which include the
+owner, and these respond. So each instance has connections to the next owners
+before it needs them, the next owners receive the status of all others, and
+what one instance has read from the store reaches all others within two
+heartbeats. The number of messages grows linearly with the fleet, not with its
+square, and the number of store reads does not grow at all.
 """
 
 from collections.abc import Callable, Mapping
@@ -38,12 +41,13 @@
 
 
 class BeatParts(NamedTuple):
-    """What beats are made from and go to.
+    """Parts that heartbeats are built from and applied to.
 
-    :param version: tells the version of the configuration held here.
-    :param slowness: tells what was learned of each engine's speed.
-    :param on_engines: told that the list of engines has changed.
-    :param is_first_start: whether nothing ran before this process.
+    :param version: returns the configuration version held here.
+    :param slowness: returns the learned slowness of each engine.
+    :param learn_slowness: applies the slowness of engines that a peer reports.
+    :param on_engines: called when the list of engines has changed.
+    :param is_first_start: whether no process of the fleet ran before.
     :param is_store_reached: whether the last call to the store was answered.
     """
 
@@ -62,10 +66,10 @@
 
 
 class Beats:
-    """Sends beats, answers them and takes in what they tell."""
+    """Sends heartbeats, responds to them and applies what they report."""
 
     def __init__(self, parts: BeatParts) -> None:
-        """Begin to count this process's age."""
+        """Start counting this process's age."""
         self._parts = parts
         self.is_owner_lost = False
         self._pace = BeatPace(lambda: len(parts.membership.ranked(FLEET_CELL)))
@@ -76,29 +80,30 @@
         )
         self._clock = BeatClock(self.attendance.started_ms)
         self._unanswered_ms: dict[str, float] = {}
-        self._told = Told(parts.membership, self.attendance.present)
+        self._sent_updates = Told(parts.membership, self.attendance.present)
 
     async def async_run(self) -> None:
-        """Beat for ever."""
+        """Send heartbeats periodically, forever."""
         while True:
             await self.async_beat()
             await sleep(self._pace.beat_ms / MILLIS_PER_SECOND)
 
     async def async_beat(self) -> None:
-        """Beat once to each instance that is to be kept informed."""
+        """Send one heartbeat to each first-ranked instance."""
         parts = self._parts
         now = now_ms()
-        # An heir counts what its own callers have spent as well.
+        # When this process becomes the owner, it also counts the spending of
+        # its own callers.
         parts.reports.note(
             parts.membership.own.instance_id,
             parts.spending.report(now),
-            self._memory_ms(now),
+            self._spending_record_ms(now),
         )
         targets = self._targets()
-        for forgotten in self._unanswered_ms.keys() - set(targets):
-            self._unanswered_ms.pop(forgotten)
+        for former_target in self._unanswered_ms.keys() - set(targets):
+            self._unanswered_ms.pop(former_target)
         for peer_id in targets:
-            await self._async_beat_to(peer_id)
+            await self._async_send_heartbeat(peer_id)
 
     async def async_answer(
         self,
@@ -106,31 +111,32 @@
         message: Message,
         deliver: Deliver,
     ) -> None:
-        """Take in a peer's beat or list, and answer a beat."""
+        """Apply a peer's heartbeat or engine list; respond to a heartbeat."""
         if isinstance(message, EngineList):
-            self._take_engines(message)
+            self._apply_engines(message)
             return
         if not isinstance(message, Beat):
             return
-        self._take(peer_id, message)
+        self._apply_heartbeat(peer_id, message)
         if not message.echo_ms:
-            # It has started anew, and knows nothing of what its name was told.
+            # The peer has restarted and lost what was sent to its predecessor
+            # of the same name.
             self.forget_told(peer_id)
-        beat = self._make(peer_id)
-        beat.present = self._told.untold_present(peer_id)
-        beat.statuses = self._told.untold_statuses(peer_id)
+        beat = self._make_heartbeat(peer_id)
+        beat.present = self._sent_updates.untold_present(peer_id)
+        beat.statuses = self._sent_updates.untold_statuses(peer_id)
         await deliver(beat)
         await self._async_send_engines(message, deliver)
 
     async def async_receive(self, peer_id: str, message: Message) -> None:
-        """Take in a peer's answer to a beat."""
+        """Apply a peer's response to a heartbeat."""
         if isinstance(message, EngineList):
-            self._take_engines(message)
+            self._apply_engines(message)
             return
         if not isinstance(message, Beat):
             return
         self._unanswered_ms.pop(peer_id, None)
-        self._take(peer_id, message)
+        self._apply_heartbeat(peer_id, message)
         if message.present is not None:
             self.attendance.take_present(peer_id, message.present)
         if peer_id == self._parts.membership.owner_of(FLEET_CELL):
@@ -142,26 +148,28 @@
         await self._async_send_engines(message, _async_deliver)
 
     def forget_told(self, peer_id: str) -> None:
-        """Tell a peer everything again, since its connection has gone."""
-        self._told.forget(peer_id)
+        """Send everything to a peer again, since its connection was lost."""
+        self._sent_updates.forget(peer_id)
 
     def _targets(self) -> list[str]:
         membership = self._parts.membership
         own_id = membership.own.instance_id
         ranked = membership.ranked(FLEET_CELL)
-        trusted = [each for each in ranked if each not in membership.suspects]
-        targets = trusted[:INFORMED]
+        unsuspected = [
+            each for each in ranked if each not in membership.suspects
+        ]
+        targets = unsuspected[:INFORMED]
         suspects = [
             each
             for each in ranked[: INFORMED + 1]
             if each in membership.suspects
         ]
-        # Without a probe the first to find out whether a lost owner is back
-        # would be a request.
+        # Without probes, only a request would detect that a lost owner is
+        # reachable again.
         targets += self._pace.probes(suspects, now_ms())
         return [each for each in targets if each != own_id]
 
-    async def _async_beat_to(self, peer_id: str) -> None:
+    async def _async_send_heartbeat(self, peer_id: str) -> None:
         peers = self._parts.peers
         now = now_ms()
         if not peers.has_link(peer_id) and not self._pace.may_open_link():
@@ -178,36 +186,36 @@
             self.attendance.forget(peer_id)
             await peers.async_drop(peer_id)
             return
-        await peers.async_send(peer_id, self._make(peer_id))
+        await peers.async_send(peer_id, self._make_heartbeat(peer_id))
 
-    def _make(self, peer_id: str) -> Beat:
+    def _make_heartbeat(self, peer_id: str) -> Beat:
         parts = self._parts
         now = now_ms()
-        heard = self.attendance.heard(peer_id)
+        last = self.attendance.heard(peer_id)
         version = parts.version()
         confirmed_ms = parts.freshness.confirmed_ms(version)
         return Beat(
             stamp_ms=self._clock.stamp_ms(now),
-            echo_ms=heard.stamp_ms,
+            echo_ms=last.stamp_ms,
             configuration_version=version,
-            configuration_age_ms=told_age_ms(heard.at_ms, confirmed_ms),
+            configuration_age_ms=told_age_ms(last.at_ms, confirmed_ms),
             engines_version=parts.directory.version,
             engines_age_ms=told_age_ms(
-                heard.at_ms,
+                last.at_ms,
                 parts.directory.confirmed_ms,
             ),
-            status=self._told.untold_status(peer_id, now),
-            memory_ms=int(self._memory_ms(now)),
+            status=self._sent_updates.untold_status(peer_id, now),
+            memory_ms=int(self._spending_record_ms(now)),
             spent=parts.spending.report(now),
             is_store_reached=parts.is_store_reached(),
         )
 
-    def _take(self, peer_id: str, beat: Beat) -> None:
+    def _apply_heartbeat(self, peer_id: str, beat: Beat) -> None:
         parts = self._parts
         if beat.status:
-            self._note_status(beat.status)
+            self._apply_status(beat.status)
         for text in beat.statuses or ():
-            self._note_status(text)
+            self._apply_status(text)
         self.attendance.hear(
             peer_id,
             beat.stamp_ms,
@@ -216,10 +224,11 @@
         parts.reports.note(peer_id, beat.spent, beat.memory_ms)
         if not beat.echo_ms:
             return
-        # The peer counted its ages back from the arrival of the beat that it
-        # echoes; that was sent here no later than at the echoed stamp.
+        # The peer's ages count back from the arrival of the heartbeat that it
+        # echoes. This process stamped that heartbeat before it arrived, so
+        # counting back from the stamp never makes a confirmation younger.
         now = now_ms()
-        for proofs, version, age_ms in (
+        for target, version, age_ms in (
             (
                 parts.freshness,
                 beat.configuration_version,
@@ -231,19 +240,19 @@
             if asked_ms is None:
                 _LOGGER.warning('proof not accepted', peer=peer_id)
                 return
-            proofs.confirm(version, asked_ms)
+            target.confirm(version, asked_ms)
 
-    def _memory_ms(self, now: float) -> float:
+    def _spending_record_ms(self, now: float) -> float:
         if self._parts.is_first_start:
-            # Before it there was nothing to remember.
+            # No spending precedes the first start, so the record is complete.
             return NEVER_MS
         return now - self.attendance.started_ms
 
-    def _note_status(self, text: str) -> None:
+    def _apply_status(self, text: str) -> None:
         try:
             status = InstanceStatus.from_text(text)
         except ValueError:
-            _LOGGER.warning('no status object', text=text)
+            _LOGGER.warning('peer sent an invalid status object', text=text)
             return
         membership = self._parts.membership
         if status.instance_id == membership.own.instance_id:
@@ -257,12 +266,12 @@
         if beat.engines_version < directory.version:
             await deliver(directory.to_wire(self._parts.slowness()))
 
-    def _take_engines(self, message: EngineList) -> None:
+    def _apply_engines(self, message: EngineList) -> None:
         parts = self._parts
         try:
             engines = [from_wire(entry) for entry in message.engines]
         except ValueError:
-            _LOGGER.warning('a peer told of an engine without an address')
+            _LOGGER.warning('peer sent an invalid engine entry')
             return
         if parts.directory.adopt(message.version, engines):
             parts.learn_slowness(
--- a/hornbeamdeck/process/freshness.py
+++ b/hornbeamdeck/process/freshness.py
@@ -1,9 +1,10 @@
-"""Proof that what a process holds is still what the store holds.
+"""Confirms that what a process holds is still what the store holds.
 
-A key that was taken away must be dead everywhere within a bound, also on an
-instance that is cut off and hears nothing. So a proof counts only from the
-moment at which its question was sent, on a clock that runs through suspension,
-and a keyed request is served only while the proof is young enough.
+A revoked key must stop working on every instance within a bound, including an
+instance that is cut off and receives no updates. A confirmation therefore
+counts from the moment at which the request to the store was sent, on a clock
+that runs through suspension, and a keyed request is served only while the
+confirmation is young enough.
 """
 
 import math
@@ -11,47 +12,50 @@
 
 __all__ = ('Freshness',)
 
-# Versions that follow each other faster than a process adopts them.
-REMEMBERED: Final = 16
+# New versions may appear faster than a process adopts them, so confirmations
+# are kept for several versions.
+MAX_CONFIRMED_VERSIONS: Final = 16
 
 
 class Freshness:
-    """The youngest proof of each of the latest versions."""
+    """The latest confirmation of each of the newest versions."""
 
     def __init__(self) -> None:
-        """Start without proof."""
+        """Start without confirmations."""
         self._confirmed_ms: dict[int, float] = {}
 
     @property
     def newest_version(self) -> int:
-        """Newest version that any proof spoke of; 0: none did."""
+        """Newest confirmed version; 0: none."""
         return max(self._confirmed_ms, default=0)
 
-    def confirm(self, version: int, asked_ms: float) -> None:
-        """Note that a version was the newest when somebody asked.
+    def confirm(self, version: int, requested_ms: float) -> None:
+        """Record that a version was the newest at the time of a request.
 
-        :param asked_ms: when the question was sent, on this process's clock.
+        :param requested_ms: when the request to the store was sent, on this
+            process's clock.
         """
         known_ms = self._confirmed_ms.get(version, -math.inf)
-        self._confirmed_ms[version] = max(known_ms, asked_ms)
-        if len(self._confirmed_ms) > REMEMBERED:
+        self._confirmed_ms[version] = max(known_ms, requested_ms)
+        if len(self._confirmed_ms) > MAX_CONFIRMED_VERSIONS:
             self._confirmed_ms.pop(min(self._confirmed_ms))
 
     def confirmed_ms(self, version: int) -> float:
-        """Tell up to when nothing newer than a version can have been stored.
+        """Return the latest time at which no newer version was stored.
 
-        Whoever holds a version holds all that was in force before it, so the
-        proofs of older ones count for it; those of newer ones do not.
+        A process that holds a version also holds every earlier change, so
+        confirmations of older versions count for it. Confirmations of newer
+        versions do not.
         """
         return max(
             (
-                asked_ms
-                for proved, asked_ms in self._confirmed_ms.items()
-                if proved <= version
+                requested_ms
+                for confirmed, requested_ms in self._confirmed_ms.items()
+                if confirmed <= version
             ),
             default=-math.inf,
         )
 
     def age_ms(self, version: int, now: float) -> float:
-        """Tell how old the proof for a version is."""
+        """Return the age of the confirmation for a version."""
         return now - self.confirmed_ms(version)
--- a/hornbeamdeck/process/proofs.py
+++ b/hornbeamdeck/process/proofs.py
@@ -1,8 +1,9 @@
-"""How current what a process holds of the store is, and makes it current.
+"""Checks how current this process's view of the store is, and refreshes it.
 
-Beats keep it current as long as owners and peers keep up. A process that lags,
-or whose owner does, must not act on what it holds for longer than a change may
-take to be in force, so what a request depends on is read again in its way.
+Heartbeats keep the view current while the owner and the peers are responsive.
+A process that lags, or whose owner lags, must not use its view for longer than
+a change may take to be in force. A request therefore triggers a new read of
+what it depends on, and waits for it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -16,22 +17,25 @@
 
 __all__ = ('ProofParts', 'Proofs')
 
-# A proof of the configuration is used up so long before the bound on revoked
-# keys: a second in which watches may hear nothing while their history goes, and
-# the way of a request to its engine.
+# A confirmation of the configuration expires this long before the bound on
+# revoked keys. The margin covers a second in which watches may report nothing
+# while their history is dropped, and the time that a request takes to reach its
+# engine.
 REVOCATION_MARGIN_MS: Final = 1200
-# From the last look at the list of engines until a request reaches its engine:
-# the longest wait for a connection, and a packet that is sent again.
-SENDING_MS: Final = 600
+# Time from the last check of the list of engines until a request reaches its
+# engine: the longest wait for a connection plus one retransmitted packet.
+SEND_MARGIN_MS: Final = 600
 
 
 class ProofParts(NamedTuple):
-    """What is proved, and how it is proved anew.
-
-    :param version: the version of the configuration held here.
-    :param bounds: the bounds in force.
-    :param read_configuration: reads it, and tells whether the store answered.
-    :param read_engines: the same for the list of engines.
+    """Records of confirmations and the reads that renew them.
+
+    :param version: returns the configuration version held here.
+    :param bounds: returns the bounds in force.
+    :param read_configuration: reads the configuration and returns whether the
+        store answered.
+    :param read_engines: reads the list of engines and returns whether the
+        store answered.
     """
 
     freshness: Freshness
@@ -43,50 +47,53 @@
 
 
 class Proofs:
-    """Says for how much the proofs of this process are good."""
+    """Decides what the confirmations held by this process allow."""
 
     def __init__(self, parts: ProofParts) -> None:
-        """Take what proofs are kept in."""
+        """Check and renew the confirmations in these parts."""
         self._parts = parts
-        self._configuration = SharedRead(parts.read_configuration)
-        self._engines = SharedRead(parts.read_engines)
+        self._configuration_read = SharedRead(parts.read_configuration)
+        self._engines_read = SharedRead(parts.read_engines)
 
     @property
     def newest_version(self) -> int:
-        """Newest version of the configuration heard of; 0: none."""
+        """Newest confirmed version of the configuration; 0: none."""
         return self._parts.freshness.newest_version
 
     def configuration_age_ms(self) -> float:
-        """Tell how old the proof of the configuration is."""
+        """Return the age of the configuration's confirmation."""
         parts = self._parts
         return parts.freshness.age_ms(parts.version(), now_ms())
 
     def engines_age_ms(self) -> float:
-        """Tell how old the proof of the list of engines is."""
+        """Return the age of the confirmation of the list of engines."""
         return self._parts.directory.age_ms(now_ms())
 
     def has_keys(self) -> bool:
-        """Whether keys are good: none was revoked longer ago than allowed."""
+        """Return whether keys may be accepted.
+
+        They may while no key can have been revoked longer ago than the bound.
+        """
         limit_ms = self._parts.bounds().revocation_ms - REVOCATION_MARGIN_MS
         return self.configuration_age_ms() < limit_ms
 
     def is_in_force(self) -> bool:
-        """Whether no change can be missing that had to be in force by now."""
+        """Return whether every change due by now is in force here."""
         limit_ms = self._parts.bounds().configuration_apply_ms
         return self.configuration_age_ms() < limit_ms
 
     async def async_renew_configuration(self) -> None:
-        """Read the configuration where a change could be missing."""
+        """Read the configuration if a change could be missing."""
         if not self.is_in_force():
-            await self._configuration.async_wait()
+            await self._configuration_read.async_wait()
 
     async def async_may_send(self, engine: str) -> bool:
-        """Whether an engine may get work now, however old its grant is.
+        """Return whether a request may be sent to an engine now.
 
-        Owners lag as well, and a grant may be under way while its engine says
-        that it leaves.
+        This is checked even after a grant: the owner's view may lag, and an
+        engine may start draining while the grant is on its way.
         """
-        limit_ms = self._parts.bounds().drain_ms - SENDING_MS
+        limit_ms = self._parts.bounds().drain_ms - SEND_MARGIN_MS
         if self.engines_age_ms() >= limit_ms:
-            await self._engines.async_wait()
+            await self._engines_read.async_wait()
         return not self._parts.directory.has_left(engine)
--- a/tests/process/test_beats.py
+++ b/tests/process/test_beats.py
@@ -1,4 +1,4 @@
-"""Proofs that travel from instance to instance."""
+"""Heartbeats and the freshness confirmations that they pass on."""
 
 import json
 import random
@@ -38,8 +38,8 @@
 DELAYS = st.lists(st.integers(0, 5000), min_size=2, max_size=12)
 
 
-class _World:
-    """True time, and how far the clock of whoever acts is off."""
+class _SimulatedTime:
+    """True time, and the clock offset of the active instance."""
 
     def __init__(self) -> None:
         self.true_ms = 1000.0
@@ -49,8 +49,8 @@
         return self.true_ms + self.offset_ms
 
 
-class _Outbox:
-    """Takes what is sent to peers."""
+class _RecordingPeers:
+    """Records messages sent to peers."""
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
@@ -59,16 +59,18 @@
         self.sent.append(message)
 
 
-class _Side:
-    """One instance with a clock of its own."""
+class _Node:
+    """An instance with a clock of its own."""
 
-    def __init__(self, world: _World, name: str, offset_ms: float) -> None:
-        self.world = world
+    def __init__(
+        self, clock: _SimulatedTime, name: str, offset_ms: float
+    ) -> None:
+        self.clock = clock
         self.name = name
         self.offset_ms = offset_ms
-        self.outbox = _Outbox()
+        self.outbox = _RecordingPeers()
         self.freshness = Freshness()
-        self.act()
+        self.activate()
         self.beats = beats.Beats(
             beats.BeatParts(
                 membership=Membership(_status(name)),
@@ -86,12 +88,12 @@
             ),
         )
 
-    def act(self) -> None:
-        """Be the one whose clock is read."""
-        self.world.offset_ms = self.offset_ms
+    def activate(self) -> None:
+        """Make this instance's clock the current one."""
+        self.clock.offset_ms = self.offset_ms
 
-    def proved_ms(self) -> float:
-        """Tell in true time up to when the version is held for the newest."""
+    def true_confirmed_ms(self) -> float:
+        """Return in true time when the version was last confirmed."""
         return self.freshness.confirmed_ms(VERSION) - self.offset_ms
 
 
@@ -101,34 +103,36 @@
 
 
 @pytest.fixture
-def world(monkeypatch: pytest.MonkeyPatch) -> _World:
-    """Give all that reads the clock a clock of the test's."""
-    made = _World()
+def clock(monkeypatch: pytest.MonkeyPatch) -> _SimulatedTime:
+    """Replace the clock of the modules under test."""
+    simulated = _SimulatedTime()
     for module in (attendance, beats, suspects):
-        monkeypatch.setattr(module, 'now_ms', made.now_ms)
-    return made
+        monkeypatch.setattr(module, 'now_ms', simulated.now_ms)
+    return simulated
 
 
-async def _async_exchange(asker: _Side, answerer: _Side, delay: Any) -> None:
-    asker.act()
-    asked = asker.beats._make(answerer.name)
-    asker.world.true_ms += next(delay)
-    answerer.act()
-    answers: list[Beat] = []
+async def _async_exchange(sender: _Node, receiver: _Node, delay: Any) -> None:
+    sender.activate()
+    request = sender.beats._make_heartbeat(receiver.name)
+    sender.clock.true_ms += next(delay)
+    receiver.activate()
+    responses: list[Beat] = []
 
     async def _async_deliver(message: Message) -> None:
-        answers.append(cast(Beat, message))
+        responses.append(cast(Beat, message))
 
-    await answerer.beats.async_answer(asker.name, asked, _async_deliver)
-    answerer.world.true_ms += next(delay)
-    asker.act()
-    await asker.beats.async_receive(answerer.name, answers[0])
+    await receiver.beats.async_answer(sender.name, request, _async_deliver)
+    receiver.clock.true_ms += next(delay)
+    sender.activate()
+    await sender.beats.async_receive(receiver.name, responses[0])
 
 
-def _exchange_all(world: _World, delays: list[int]) -> tuple[_Side, _Side]:
-    reader = _Side(world, 'reader', 0)
-    other = _Side(world, 'other', 1_000_000)
-    reader.freshness.confirm(VERSION, world.true_ms)
+def _exchange_all(
+    clock: _SimulatedTime, delays: list[int]
+) -> tuple[_Node, _Node]:
+    reader = _Node(clock, 'reader', 0)
+    other = _Node(clock, 'other', 1_000_000)
+    reader.freshness.confirm(VERSION, clock.true_ms)
     delay = iter(delays[: len(delays) // 2 * 2])
 
     async def _async_all() -> None:
@@ -139,33 +143,35 @@
     return reader, other
 
 
-def test_a_proof_reaches_the_other_in_one_exchange(world: _World) -> None:
-    _, other = _exchange_all(world, [100, 100, 100, 100])
-    assert other.proved_ms() > 0
+def test_one_exchange_passes_a_confirmation_on(clock: _SimulatedTime) -> None:
+    _, other = _exchange_all(clock, [100, 100, 100, 100])
+    assert other.true_confirmed_ms() > 0
 
 
-def test_time_on_the_way_never_makes_a_proof_younger(world: _World) -> None:
-    """A beat lies in a queue behind a partition for seconds. Were it counted
-    from its arrival, keys taken away meanwhile would live on.
+def test_transit_time_never_makes_a_confirmation_younger(
+    clock: _SimulatedTime,
+) -> None:
+    """A heartbeat is queued behind a partition for seconds. If confirmations
+    counted from its arrival, keys revoked meanwhile would still be accepted.
     """
 
     @given(DELAYS)
     def _check(delays: list[int]) -> None:
-        world.true_ms = 1000.0
-        reader, other = _exchange_all(world, delays)
-        assert other.proved_ms() <= reader.proved_ms()
+        clock.true_ms = 1000.0
+        reader, other = _exchange_all(clock, delays)
+        assert other.true_confirmed_ms() <= reader.true_confirmed_ms()
 
     _check()
 
 
-def _beat_to(sender: _Side, receiver: _Side) -> None:
-    """Have a beat arrive before its receiver has sent any."""
-    sender.act()
-    beat = sender.beats._make(receiver.name)
-    receiver.act()
+def _send_first_heartbeat(sender: _Node, receiver: _Node) -> None:
+    """Deliver a heartbeat before its receiver has sent any."""
+    sender.activate()
+    beat = sender.beats._make_heartbeat(receiver.name)
+    receiver.activate()
 
     async def _async_deliver(_message: Message) -> None:
-        """Send nothing back."""
+        """Discard the response."""
 
     curio.run(
         receiver.beats.async_answer,
@@ -175,138 +181,153 @@
     )
 
 
-def test_an_echo_of_an_earlier_boot_proves_nothing(world: _World) -> None:
-    """Guards against proofs from the future after a machine has rebooted."""
+def test_echo_of_an_earlier_boot_confirms_nothing(
+    clock: _SimulatedTime,
+) -> None:
+    """Guards against confirmations from the future after a machine reboots."""
 
     @given(st.integers(-50_000, 5_000_000))
     def _check(set_back_ms: int) -> None:
-        world.true_ms = 1000.0
-        reader, _ = _exchange_all(world, [100, 100])
-        world.true_ms += 30_000
-        rebooted = _Side(world, 'other', 1_000_000 - set_back_ms)
-        world.true_ms += 1000
-        _beat_to(reader, rebooted)
-        assert rebooted.proved_ms() <= reader.proved_ms()
+        clock.true_ms = 1000.0
+        reader, _ = _exchange_all(clock, [100, 100])
+        clock.true_ms += 30_000
+        rebooted = _Node(clock, 'other', 1_000_000 - set_back_ms)
+        clock.true_ms += 1000
+        _send_first_heartbeat(reader, rebooted)
+        assert rebooted.true_confirmed_ms() <= reader.true_confirmed_ms()
 
     _check()
 
 
-def test_a_proof_from_the_future_is_not_passed_on(world: _World) -> None:
-    """Guards against a wrong proof that makes a whole fleet trust old news."""
-    reader, other = _exchange_all(world, [100, 100])
-    reader.freshness.confirm(VERSION, world.true_ms + 4_000_000)
-    _beat_to(reader, other)
-    assert other.proved_ms() <= world.true_ms
+def test_confirmation_from_the_future_is_not_passed_on(
+    clock: _SimulatedTime,
+) -> None:
+    """Guards against a wrong confirmation that makes a whole fleet use an old
+    configuration.
+    """
+    reader, other = _exchange_all(clock, [100, 100])
+    reader.freshness.confirm(VERSION, clock.true_ms + 4_000_000)
+    _send_first_heartbeat(reader, other)
+    assert other.true_confirmed_ms() <= clock.true_ms
 
 
-def test_the_own_status_is_told_when_a_peer_lacks_it(world: _World) -> None:
-    """Status objects made half of all bytes between instances."""
-    side = _Side(world, 'one', 0)
-    assert side.beats._make('peer').status
-    assert not side.beats._make('peer').status
-    assert side.beats._make('another').status
-    side.beats.forget_told('peer')
-    assert side.beats._make('peer').status
+def test_own_status_is_sent_once_to_each_peer(clock: _SimulatedTime) -> None:
+    """Status objects sent with every heartbeat made up half of all bytes
+    between instances.
+    """
+    node = _Node(clock, 'one', 0)
+    assert node.beats._make_heartbeat('peer').status
+    assert not node.beats._make_heartbeat('peer').status
+    assert node.beats._make_heartbeat('another').status
+    node.beats.forget_told('peer')
+    assert node.beats._make_heartbeat('peer').status
 
 
-def test_a_status_that_changes_or_may_be_lost_is_told_again(
-    world: _World,
+def test_changed_or_old_status_is_sent_again(
+    clock: _SimulatedTime,
 ) -> None:
-    """A beat is lost with its connection, or an instance is about to stop.
-    Peers that never hear of it send it work until it is gone.
+    """A heartbeat is lost with its connection, or an instance is about to
+    stop. Peers that do not receive the new status send it work until it has
+    stopped.
     """
-    side = _Side(world, 'one', 0)
-    side.beats._make('peer')
-    membership = side.beats._parts.membership
+    node = _Node(clock, 'one', 0)
+    node.beats._make_heartbeat('peer')
+    membership = node.beats._parts.membership
     membership.own = membership.own._replace(state=STATE_LEAVING)
-    assert STATE_LEAVING in side.beats._make('peer').status
-    world.true_ms += told.TELL_AGAIN_MS
-    assert side.beats._make('peer').status
+    assert STATE_LEAVING in node.beats._make_heartbeat('peer').status
+    clock.true_ms += told.TELL_AGAIN_MS
+    assert node.beats._make_heartbeat('peer').status
 
 
-class _Links(_Outbox):
-    """Takes what is sent, and knows no link until something was sent."""
+class _RecordingLinks(_RecordingPeers):
+    """Records messages; has a link to a peer after the first message to it."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[str] = []
+        self.contacted: list[str] = []
 
     def has_link(self, peer_id: str) -> bool:
-        return peer_id in self.asked
+        return peer_id in self.contacted
 
     async def async_send(self, peer_id: str, message: Message) -> None:
         await super().async_send(peer_id, message)
-        self.asked.append(peer_id)
+        self.contacted.append(peer_id)
 
     async def async_drop(self, _peer_id: str) -> None:
-        """Forget nothing."""
+        """Keep the record of contacted peers."""
 
 
-def _large_fleet(world: _World) -> list[tuple[_Side, _Links]]:
+def _large_fleet(clock: _SimulatedTime) -> list[tuple[_Node, _RecordingLinks]]:
     names = [f'front-{number}' for number in range(FLEET)]
     fleet = []
     for name in names:
-        side = _Side(world, name, 0)
-        links = _Links()
-        parts = side.beats._parts
-        side.beats._parts = parts._replace(peers=cast(Peers, links))
+        node = _Node(clock, name, 0)
+        links = _RecordingLinks()
+        parts = node.beats._parts
+        node.beats._parts = parts._replace(peers=cast(Peers, links))
         for other in set(names) - {name}:
             change = StoredObject(
                 f'instances/{other}', 0, _status(other).to_text()
             )
             parts.membership.note_status(change)
-        fleet.append((side, links))
+        fleet.append((node, links))
     return fleet
 
 
-def _most_asked(fleet: list[tuple[_Side, _Links]]) -> int:
-    asked = Counter(peer for _, links in fleet for peer in set(links.asked))
-    return max(asked.values(), default=0)
+def _most_contacted(fleet: list[tuple[_Node, _RecordingLinks]]) -> int:
+    contacted = Counter(
+        peer for _, links in fleet for peer in set(links.contacted)
+    )
+    return max(contacted.values(), default=0)
 
 
-def test_a_large_fleet_does_not_greet_its_owner_all_at_once(
-    world: _World,
+def test_large_fleet_spreads_first_heartbeats_to_its_owner(
+    clock: _SimulatedTime,
 ) -> None:
-    """Guards against an owner that is overrun in the second it takes over."""
+    """Guards against overloading an instance when it becomes the owner."""
     random.seed(1)
-    fleet = _large_fleet(world)
-    for side, _ in fleet:
-        curio.run(side.beats.async_beat)
-    assert 0 < _most_asked(fleet) <= FLEET * 2 / 3
+    fleet = _large_fleet(clock)
+    for node, _ in fleet:
+        curio.run(node.beats.async_beat)
+    assert 0 < _most_contacted(fleet) <= FLEET * 2 / 3
 
 
-def test_a_silent_owner_is_not_kept_down_by_its_own_fleet(
-    world: _World,
+def test_probes_do_not_overload_a_silent_owner(
+    clock: _SimulatedTime,
 ) -> None:
-    """Guards against probes of a whole fleet that outlast a short overload."""
+    """A short overload makes an owner silent. Probes by the whole fleet would
+    make the overload last.
+    """
     random.seed(1)
-    fleet = _large_fleet(world)
-    for side, _ in fleet:
-        membership = side.beats._parts.membership
+    fleet = _large_fleet(clock)
+    for node, _ in fleet:
+        membership = node.beats._parts.membership
         for first in membership.ranked('fleet')[: attendance.INFORMED + 1]:
             membership.suspect(first)
-        side.beats._targets()
-    world.true_ms += beat_pace.PROBE_MS + 1
+        node.beats._targets()
+    clock.true_ms += beat_pace.PROBE_MS + 1
     probed = Counter(
         target
-        for side, _ in fleet
-        for target in side.beats._targets()
-        if target in side.beats._parts.membership.suspects
+        for node, _ in fleet
+        for target in node.beats._targets()
+        if target in node.beats._parts.membership.suspects
     )
     assert sum(probed.values()) == 0
-    assert side.beats._pace.beat_ms > beat_pace.BEAT_MS
+    assert node.beats._pace.beat_ms > beat_pace.BEAT_MS
 
 
 @given(st.integers(1, 2000))
-def test_an_instance_that_beats_counts_as_present(size: int) -> None:
-    """Guards against a fleet so large that its members come and go."""
+def test_liveness_timeout_exceeds_the_heartbeat_interval(size: int) -> None:
+    """Heartbeats are rarer in a large fleet. With too short a timeout, live
+    members would alternate between live and down.
+    """
     pace = beat_pace.BeatPace(lambda: size)
     assert pace.present_ms > 2 * pace.beat_ms
     assert pace.present_ms >= pace.silence_ms
 
 
-def test_a_small_fleet_tries_all_lost_peers_at_once() -> None:
-    """Guards against two owners for seconds after a cut has healed."""
+def test_small_fleet_probes_all_lost_peers_at_once() -> None:
+    """Guards against two owners for seconds after a partition has healed."""
     lost = ['a', 'b', 'c', 'd']
     small = beat_pace.BeatPace(lambda: 13)
     assert set(small.probes(lost, beat_pace.PROBE_MS + 1)) == set(lost)
@@ -315,33 +336,35 @@
     assert len(large.probes(lost, 1_000_000)) == 1
 
 
-def test_an_answer_counts_the_fleet_a_few_times_only(
-    world: _World,
+def test_liveness_lists_the_fleet_only_a_few_times(
+    clock: _SimulatedTime,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against answers to beats that cost the square of the fleet."""
-    side, _ = _large_fleet(world)[0]
+    """Guards against heartbeat responses whose cost grows with the square of
+    the fleet.
+    """
+    node, _ = _large_fleet(clock)[0]
     for number in range(1, FLEET):
-        side.beats.attendance.hear(f'front-{number}', 1, is_usable=True)
-    counted = []
+        node.beats.attendance.hear(f'front-{number}', 1, is_usable=True)
+    calls = []
     known = Membership.known
 
     def _known(membership: Membership) -> list[InstanceStatus]:
-        counted.append(1)
+        calls.append(1)
         return known(membership)
 
     monkeypatch.setattr(Membership, 'known', _known)
-    side.beats.attendance.present()
-    side.beats.attendance.share()
-    assert len(counted) < 10
+    node.beats.attendance.present()
+    node.beats.attendance.share()
+    assert len(calls) < 10
 
 
 def test_repeated_status_is_not_parsed_again(
-    world: _World,
+    clock: _SimulatedTime,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against parsing the status of the fleet once for each peer."""
-    side, _ = _large_fleet(world)[0]
+    """Guards against parsing all status objects again for each peer."""
+    node, _ = _large_fleet(clock)[0]
     texts = [_status(f'front-{each}').to_text() for each in range(1, FLEET)]
     parsed = []
     loads = json.loads
@@ -352,16 +375,16 @@
 
     monkeypatch.setattr(json, 'loads', _loads)
     for text in texts * attendance.INFORMED:
-        side.beats._note_status(text)
+        node.beats._apply_status(text)
     assert len(parsed) <= len(texts)
 
 
-def test_reading_the_own_rank_does_not_sort_the_fleet(
-    world: _World,
+def test_own_rank_is_cached(
+    clock: _SimulatedTime,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against an idle cost that grows with the size of the fleet."""
-    side, _ = _large_fleet(world)[0]
+    node, _ = _large_fleet(clock)[0]
     sort_calls = []
     ranking = rendezvous.ranking
 
@@ -371,7 +394,7 @@
 
     monkeypatch.setattr(membership_module, 'ranking', _ranking)
     for _ in range(40):
-        side.beats.attendance.rank()
-        side.beats._targets()
-        assert side.beats._pace.beat_ms
+        node.beats.attendance.rank()
+        node.beats._targets()
+        assert node.beats._pace.beat_ms
     assert len(sort_calls) <= 1
--- a/tests/process/test_freshness.py
+++ b/tests/process/test_freshness.py
@@ -1,23 +1,24 @@
-"""Proofs that the configuration held is still the stored one."""
+"""Confirmations that the configuration held is still the stored one."""
 
 import math
 
 from hornbeamdeck.process.freshness import Freshness
 
 
-def test_without_proof_nothing_is_fresh() -> None:
+def test_age_is_infinite_without_confirmation() -> None:
     assert Freshness().age_ms(7, 100) == math.inf
 
 
-def test_a_proof_counts_from_its_question() -> None:
+def test_age_counts_from_the_request() -> None:
     fresh = Freshness()
     fresh.confirm(7, 1000)
     assert fresh.age_ms(7, 1500) == 500
 
 
-def test_a_proof_of_a_newer_version_says_nothing_of_the_one_held() -> None:
-    """A peer proves version 8 while this instance holds 7. In 8 a key may be
-    gone; held for fresh, 7 would serve it on for ever.
+def test_newer_confirmation_does_not_count_for_the_version_held() -> None:
+    """A peer confirms version 8 while this instance holds 7. Version 8 may
+    have revoked a key; if 7 counted as fresh, the key would be accepted
+    forever.
     """
     fresh = Freshness()
     fresh.confirm(7, 1000)
@@ -26,20 +27,20 @@
     assert fresh.age_ms(8, 6000) == 1000
 
 
-def test_who_holds_the_newer_version_may_use_older_proofs() -> None:
+def test_older_confirmation_counts_for_a_newer_version() -> None:
     fresh = Freshness()
     fresh.confirm(7, 1000)
     assert fresh.age_ms(8, 1400) == 400
 
 
-def test_a_late_proof_makes_nothing_older() -> None:
+def test_late_confirmation_does_not_increase_the_age() -> None:
     fresh = Freshness()
     fresh.confirm(7, 2000)
     fresh.confirm(7, 1000)
     assert fresh.age_ms(7, 2500) == 500
 
 
-def test_a_storm_of_versions_is_forgotten_from_its_old_end() -> None:
+def test_oldest_versions_are_dropped_first() -> None:
     fresh = Freshness()
     for version in range(100):
         fresh.confirm(version, version)
