--- a/hornbeamdeck/process/baselines.py
+++ b/hornbeamdeck/process/baselines.py
@@ -1,7 +1,8 @@
-"""Two simple policies, kept to measure the grants against.
+"""Two simple placement policies that serve as baselines for grants.
 
-Both dispatch at once, each instance alone: engines admit what they are sent,
-so requests queue there without regard to tiers.
+With both, each instance sends requests at once and without coordination.
+Engines accept whatever they are sent, so requests queue there without regard
+to tiers.
 """
 
 import itertools
@@ -36,39 +37,42 @@
     """The last load report of each model engine."""
 
     def __init__(self, configuration: CurrentConfiguration) -> None:
-        """Know no report yet."""
+        """Start without reports."""
         self._configuration = configuration
         self._reports: dict[str, float] = {}
 
     def load_of(self, upstream: Upstream) -> float:
-        """Give the load last reported; 0 where none was."""
+        """Return the last reported load; 0 if there is no report."""
         return self._reports.get(upstream.name, 0)
 
     async def async_poll(self) -> None:
-        """Ask every engine, for ever."""
+        """Poll every engine for its load, forever."""
         while True:
             for upstream in tuple(self._configuration().upstreams.values()):
-                await self._async_ask(upstream)
+                await self._async_fetch_report(upstream)
             await sleep(REPORT_PERIOD_MS / MILLIS_PER_SECOND)
 
-    async def _async_ask(self, upstream: Upstream) -> None:
-        got = await async_fetch_once(
+    async def _async_fetch_report(self, upstream: Upstream) -> None:
+        response = await async_fetch_once(
             upstream.address,
             HttpRequest('GET', '/load', '', {}, b''),
             timeout_ms=REPORT_TIMEOUT_MS,
         )
-        if isinstance(got, Err) or got.ok_value.status != HTTPStatus.OK:
+        if (
+            isinstance(response, Err)
+            or response.ok_value.status != HTTPStatus.OK
+        ):
             return
-        report = json.loads(got.ok_value.body)
+        report = json.loads(response.ok_value.body)
         self._reports[upstream.name] = report.get('running', 0)
 
 
 async def _async_ignore_first_token(request_id: str, after_ms: float) -> None:
-    """Learn nothing from it."""
+    """Ignore the time to first token."""
 
 
 async def _async_ignore_end(request_id: str, end: RunEnd, ms: float) -> None:
-    """Learn nothing from it."""
+    """Ignore the end of a run."""
 
 
 def _policy(choose: Callable[[Enqueue], Upstream | None]) -> Policy:
@@ -100,7 +104,7 @@
 
 
 def round_robin(configuration: CurrentConfiguration) -> Policy:
-    """Give each upstream its turn."""
+    """Select upstreams in round-robin order."""
     turns = itertools.count()
 
     def _choose(request: Enqueue) -> Upstream | None:
@@ -116,15 +120,18 @@
     configuration: CurrentConfiguration,
     reports: LoadReports,
 ) -> Policy:
-    """Take the upstream whose last report was lowest; ties take turns."""
+    """Select the upstream with the lowest reported load.
+
+    Ties are broken in round-robin order.
+    """
     turns = itertools.count()
 
     def _choose(request: Enqueue) -> Upstream | None:
         candidates = _candidates(configuration(), request)
         if not candidates:
             return None
-        turn = next(turns) % len(candidates)
-        turned = candidates[turn:] + candidates[:turn]
-        return min(turned, key=reports.load_of)
+        start = next(turns) % len(candidates)
+        rotated = candidates[start:] + candidates[:start]
+        return min(rotated, key=reports.load_of)
 
     return _policy(_choose)
--- a/hornbeamdeck/process/beat_clock.py
+++ b/hornbeamdeck/process/beat_clock.py
@@ -45,8 +45,8 @@
         sent_ms = echo_ms - self._origin_ms
         if not self._started_ms <= sent_ms <= now:
             return None
-        asked_ms = sent_ms - age_ms
-        return asked_ms if asked_ms <= now else None
+        requested_ms = sent_ms - age_ms
+        return requested_ms if requested_ms <= now else None
 
 
 def told_age_ms(at_ms: float, confirmed_ms: float) -> int:
--- a/hornbeamdeck/process/beats.py
+++ b/hornbeamdeck/process/beats.py
@@ -236,11 +236,11 @@
             ),
             (parts.directory, beat.engines_version, beat.engines_age_ms),
         ):
-            asked_ms = self._clock.asked_ms(beat.echo_ms, age_ms, now)
-            if asked_ms is None:
+            requested_ms = self._clock.asked_ms(beat.echo_ms, age_ms, now)
+            if requested_ms is None:
                 _LOGGER.warning('proof not accepted', peer=peer_id)
                 return
-            target.confirm(version, asked_ms)
+            target.confirm(version, requested_ms)
 
     def _spending_record_ms(self, now: float) -> float:
         if self._parts.is_first_start:
--- a/hornbeamdeck/process/grants.py
+++ b/hornbeamdeck/process/grants.py
@@ -1,9 +1,10 @@
 """The ingress side of the grant protocol.
 
-Every request of this process is held here until its answer is done: waiting
-for a grant, or running. When the owner of its cell goes, waiting ones are
-enqueued with the next owner and running ones registered there, so that it
-rebuilds its picture of the upstreams from its ingress instances alone.
+Every request of this process is kept here until its response is complete, as
+waiting for a grant or as running. When the owner of a request's cell is lost,
+a waiting request is enqueued with the next owner and a running one is
+registered there. The next owner thus rebuilds its view of the upstreams from
+the ingress instances alone.
 """
 
 from typing import NamedTuple
@@ -41,7 +42,7 @@
     request: Enqueue
     deadline_ms: float
     owner: str
-    answer: Queue
+    decisions: Queue
 
 
 class _Running(NamedTuple):
@@ -50,7 +51,7 @@
 
 
 class Grants:
-    """Asks the owners of cells for grants and tells them how runs went."""
+    """Requests grants from the owners of cells and reports runs to them."""
 
     def __init__(
         self,
@@ -58,50 +59,50 @@
         peers: Peers,
         scheduler: Scheduler,
     ) -> None:
-        """Hold nothing yet."""
+        """Start without requests."""
         self._membership = membership
         self._link = OwnerLink(membership, peers, scheduler)
         self._link.listen(self.async_receive)
         self._waiting: dict[str, _Waiting] = {}
         self._running: dict[str, _Running] = {}
         self._suspects = HeldSuspects(membership, self._link)
-        self.watch = OwnerWatch(peers, self._asked_owners)
+        self.watch = OwnerWatch(peers, self._awaited_owners)
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait for a grant."""
+        """Number of requests that wait for a grant."""
         return len(self._waiting)
 
     async def async_acquire(self, request: Enqueue) -> Result[Grant, NotRun]:
-        """Wait for a grant, which names the upstream to dispatch to."""
+        """Wait for a grant, which names the upstream for the request."""
         deadline_ms = now_ms() + request.deadline_ms
         waiting = _Waiting(request, deadline_ms, '', Queue())
         self._waiting[request.request_id] = waiting
-        answer: Grant | Refuse | None = None
+        decision: Grant | Refuse | None = None
         try:
-            answer = await self._async_ask(waiting)
+            decision = await self._async_enqueue_and_wait(waiting)
         finally:
             await self._async_stop_waiting(request)
-            if answer is None:
-                # A grant may have come in the moment in which this gave up;
-                # unless it goes back, its place is lost until a restart.
+            if decision is None:
+                # A grant may have arrived just as the wait ended. Unless it is
+                # released, its slot is lost until a restart.
                 await self.async_release(
                     request.request_id,
                     RunEnd.CANCELLED,
                     total_ms=0,
                 )
-        if answer is None:
+        if decision is None:
             return Err(deadline_passed())
-        if isinstance(answer, Refuse):
-            return Err(from_refuse(answer))
-        return Ok(answer)
+        if isinstance(decision, Refuse):
+            return Err(from_refuse(decision))
+        return Ok(decision)
 
     async def async_progress(
         self,
         request_id: str,
         first_token_ms: float,
     ) -> None:
-        """Tell the owner of a first token."""
+        """Report the first token of a run to the owner."""
         running = self._running.get(request_id)
         if running is None:
             return
@@ -121,9 +122,9 @@
         total_ms: float,
         longest_gap_ms: float = 0,
     ) -> None:
-        """Tell the owner how a run ended.
+        """Report the end of a run to the owner.
 
-        :param longest_gap_ms: between two events of its answer.
+        :param longest_gap_ms: longest gap between two events of the response.
         """
         running = self._running.pop(request_id, None)
         if running is None:
@@ -138,7 +139,7 @@
         await self._link.async_send(running.owner, message)
 
     async def async_receive(self, sender: str, message: Message) -> None:
-        """Act on a message of an owner."""
+        """Handle a message from an owner."""
         self.watch.heard(sender)
         match message:
             case Grant():
@@ -149,32 +150,34 @@
                 self._suspects.note(sender, message)
 
     async def async_owner_lost(self, owner: str) -> None:
-        """Move all that an owner held to the next one.
+        """Move the requests of a lost owner to the next one.
 
-        Each waiting request is still here and none of it has reached an
-        upstream, so asking again can't run anything twice.
+        Each waiting request is still kept here and has not reached an upstream,
+        so enqueueing it again can't run it twice.
         """
         self.watch.heard(owner)
         await self._async_move(owner)
 
     async def async_review(self) -> None:
-        """Move what membership changes have given to another owner."""
+        """Move requests whose cells have changed owners."""
         owners = {each.owner for each in self._waiting.values()}
         owners |= {each.owner for each in self._running.values()}
         owners |= self._suspects.owners()
         for owner in owners:
             await self._async_move(owner)
 
-    def _asked_owners(self) -> set[str]:
+    def _awaited_owners(self) -> set[str]:
         owners = {each.owner for each in self._waiting.values()}
         return owners - {'', self._membership.own.instance_id}
 
-    async def _async_ask(self, waiting: _Waiting) -> Grant | Refuse | None:
+    async def _async_enqueue_and_wait(
+        self, waiting: _Waiting
+    ) -> Grant | Refuse | None:
         await self._async_enqueue(waiting)
         try:
             return await async_within(
                 waiting.request.deadline_ms,
-                waiting.answer.get(),
+                waiting.decisions.get(),
             )
         except TaskTimeout:
             return None
@@ -197,14 +200,15 @@
     async def _async_granted(self, sender: str, grant: Grant) -> None:
         waiting = self._waiting.get(grant.request_id)
         if waiting is None or waiting.owner != sender:
-            # The caller has left, or another owner is asked by now: the place
-            # goes back, or this owner would count a run that never starts.
+            # The caller has left, or the request has moved to another owner.
+            # The slot is returned, since this owner would otherwise count a
+            # run that never starts.
             await self._async_decline(sender, grant)
             return
         self._waiting.pop(grant.request_id)
         run = _to_register(waiting.request, grant.upstream)
         self._running[grant.request_id] = _Running(run, sender)
-        await waiting.answer.put(grant)
+        await waiting.decisions.put(grant)
 
     async def _async_decline(self, sender: str, grant: Grant) -> None:
         running = self._running.get(grant.request_id)
@@ -217,15 +221,17 @@
         if waiting is None or waiting.owner != sender:
             return
         self._waiting.pop(refusal.request_id)
-        await waiting.answer.put(refusal)
+        await waiting.decisions.put(refusal)
 
     async def _async_move(self, owner: str) -> None:
-        moved = [each for each in self._running.values() if each.owner == owner]
-        for running in moved:
+        runs = [each for each in self._running.values() if each.owner == owner]
+        for running in runs:
             await self._async_move_run(running)
-        held = [each for each in self._waiting.values() if each.owner == owner]
+        queued = [
+            each for each in self._waiting.values() if each.owner == owner
+        ]
         await self._suspects.async_move(owner)
-        for waiting in held:
+        for waiting in queued:
             if self._membership.owner_of(waiting.request.cell) != owner:
                 await self._async_leave_queue(waiting)
                 await self._async_enqueue(waiting)
@@ -238,9 +244,9 @@
         self._running[run.request_id] = _Running(run, owner)
         await self._link.async_send(owner, run)
         if self._link.is_open(running.owner):
-            # The old owner lives and only lost the cell. Untold, it would
-            # count this run for ever, and find its upstreams full of runs long
-            # ended when the cell comes back to it.
+            # The old owner is live and has only lost the cell. Without this
+            # message it would count the run forever, and its upstreams would
+            # appear full of ended runs if it became the owner again.
             await self._link.async_send(running.owner, _to_cancelled(run))
 
     async def _async_leave_queue(self, waiting: _Waiting) -> None:
--- a/hornbeamdeck/process/held_suspects.py
+++ b/hornbeamdeck/process/held_suspects.py
@@ -1,7 +1,8 @@
-"""What owners have told this ingress of requests that upstreams died of.
+"""Poison requests that owners have reported to this ingress.
 
-Owners keep such things in memory only. Were an owner's knowledge gone with it,
-a request that crashes engines would get two more from each owner that follows.
+Owners keep reports of requests that crash engines in memory only. If the
+reports were lost with an owner, such a request would crash two more engines
+under each following owner.
 """
 
 from typing import Final, NamedTuple
@@ -12,39 +13,43 @@
 
 __all__ = ('HeldSuspects',)
 
-MAX_HELD: Final = 1000
+MAX_SUSPECTS: Final = 1000
 
 
-class _Held(NamedTuple):
+class _ReportedSuspect(NamedTuple):
     suspect: Suspect
     owner: str
 
 
 class HeldSuspects:
-    """Suspects by fingerprint, each with the owner that knows of it."""
+    """Suspected requests by fingerprint, each with the owner that has it."""
 
     def __init__(self, membership: Membership, link: OwnerLink) -> None:
-        """Hold nothing yet."""
+        """Start without suspected requests."""
         self._membership = membership
         self._link = link
-        self._held: dict[str, _Held] = {}
+        self._suspects: dict[str, _ReportedSuspect] = {}
 
     def note(self, owner: str, suspect: Suspect) -> None:
-        """Remember what an owner holds against a request."""
-        self._held.pop(suspect.fingerprint, None)
-        self._held[suspect.fingerprint] = _Held(suspect, owner)
-        if len(self._held) > MAX_HELD:
-            self._held.pop(next(iter(self._held)))
+        """Record a suspected request that an owner reports."""
+        self._suspects.pop(suspect.fingerprint, None)
+        self._suspects[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
+        if len(self._suspects) > MAX_SUSPECTS:
+            self._suspects.pop(next(iter(self._suspects)))
 
     def owners(self) -> set[str]:
-        """Name the owners that know of these."""
-        return {each.owner for each in self._held.values()}
+        """Return the owners that have any of these suspected requests."""
+        return {each.owner for each in self._suspects.values()}
 
     async def async_move(self, owner: str) -> None:
-        """Tell the next owner what this one knew."""
-        known = [each for each in self._held.values() if each.owner == owner]
-        for suspect, _ in known:
-            heir = self._membership.owner_of(suspect.cell)
-            if heir != owner:
-                self._held[suspect.fingerprint] = _Held(suspect, heir)
-                await self._link.async_send(heir, suspect)
+        """Report an owner's suspected requests to its successors."""
+        reported = [
+            each for each in self._suspects.values() if each.owner == owner
+        ]
+        for suspect, _ in reported:
+            successor = self._membership.owner_of(suspect.cell)
+            if successor != owner:
+                self._suspects[suspect.fingerprint] = _ReportedSuspect(
+                    suspect, successor
+                )
+                await self._link.async_send(successor, suspect)
--- a/hornbeamdeck/process/owner_link.py
+++ b/hornbeamdeck/process/owner_link.py
@@ -1,4 +1,4 @@
-"""Sends to the owner of a cell, in this process or in another."""
+"""Sends messages to the owner of a cell, in this process or in another."""
 
 from hornbeamdeck.process.membership import Membership
 from hornbeamdeck.process.peers import OnMessage, Peers
@@ -9,7 +9,7 @@
 
 
 class OwnerLink:
-    """One way to reach owners, near or far."""
+    """Delivers messages to local and remote owners in the same way."""
 
     def __init__(
         self,
@@ -17,22 +17,22 @@
         peers: Peers,
         scheduler: Scheduler,
     ) -> None:
-        """Take what leads to far owners and the scheduler of this process."""
+        """Use the peer connections and the scheduler of this process."""
         self._membership = membership
         self._peers = peers
         self._scheduler = scheduler
         self._on_message: OnMessage | None = None
 
     def listen(self, on_message: OnMessage) -> None:
-        """Say who receives the answers of the near owner."""
+        """Set the callback that receives responses of the local owner."""
         self._on_message = on_message
 
     def is_open(self, owner: str) -> bool:
-        """Whether an owner can be told something without connecting first."""
+        """Return whether a message to an owner needs no new connection."""
         return owner == self._own_id or self._peers.has_link(owner)
 
     async def async_send(self, owner: str, message: ToOwner) -> None:
-        """Send a message; to a far owner it is queued."""
+        """Send a message; messages to a remote owner are queued."""
         if owner != self._own_id:
             await self._peers.async_send(owner, message)
             return
--- a/hornbeamdeck/process/owner_watch.py
+++ b/hornbeamdeck/process/owner_watch.py
@@ -1,4 +1,4 @@
-"""Notices owners of cells that are silent while something waits for them."""
+"""Detects owners that do not respond while requests wait for them."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -16,64 +16,68 @@
 
 _LOGGER = structlog.get_logger(prefix='owner watch')
 
-HEARTBEAT_MS: Final = 250
-SILENCE_MS: Final = 1000
+PROBE_INTERVAL_MS: Final = 250
+SILENCE_TIMEOUT_MS: Final = 1000
 
-AskedOwners: TypeAlias = Callable[[], Iterable[str]]
+AwaitedOwners: TypeAlias = Callable[[], Iterable[str]]
 
 
 class OwnerWatch:
-    """Sends heartbeats to the owners that are asked, and only to them.
+    """Sends liveness probes to the owners that requests wait for.
 
-    A frozen owner keeps its connections open; requests would wait for it
-    until their deadlines. Nothing is sent while nothing waits.
+    A frozen owner keeps its connections open, so that requests would wait for
+    it until their deadlines. No probes are sent while no request waits.
     """
 
-    def __init__(self, peers: Peers, asked_owners: AskedOwners) -> None:
-        """Watch nobody yet.
+    def __init__(self, peers: Peers, awaited_owners: AwaitedOwners) -> None:
+        """Start without owners to probe.
 
-        :param asked_owners: names the owners that something waits for.
+        :param awaited_owners: returns the owners that requests wait for.
         """
         self._peers = peers
-        self._asked_owners = asked_owners
+        self._awaited_owners = awaited_owners
         self._unanswered_ms: dict[str, float] = {}
-        self._heard_ms: dict[str, float] = {}
+        self._last_message_ms: dict[str, float] = {}
         self._has_waiting = Event()
 
     async def async_wake(self) -> None:
-        """Begin to watch, since something waits now."""
+        """Start probing, since a request waits now."""
         await self._has_waiting.set()
 
     def heard(self, owner: str) -> None:
-        """Note that an owner has sent something."""
-        self._heard_ms[owner] = now_ms()
+        """Record that an owner has sent a message."""
+        self._last_message_ms[owner] = now_ms()
         self._unanswered_ms.pop(owner, None)
 
     async def async_run(self) -> None:
-        """Watch for ever."""
+        """Probe owners periodically, forever."""
         while True:
-            owners = set(self._asked_owners())
+            owners = set(self._awaited_owners())
             if not owners:
                 self._has_waiting.clear()
                 await self._has_waiting.wait()
-            for forgotten in self._unanswered_ms.keys() - owners:
-                self._unanswered_ms.pop(forgotten)
-            for forgotten in self._heard_ms.keys() - owners:
-                self._heard_ms.pop(forgotten)
+            for former in self._unanswered_ms.keys() - owners:
+                self._unanswered_ms.pop(former)
+            for former in self._last_message_ms.keys() - owners:
+                self._last_message_ms.pop(former)
             for owner in owners:
                 await self._async_check(owner)
-            await sleep(HEARTBEAT_MS / MILLIS_PER_SECOND)
+            await sleep(PROBE_INTERVAL_MS / MILLIS_PER_SECOND)
 
     async def _async_check(self, owner: str) -> None:
         now = now_ms()
-        if now - self._heard_ms.get(owner, -math.inf) < HEARTBEAT_MS:
-            # Its grants and beats show that it lives; an answer more from it
-            # for each instance of the fleet would cost it more than they do.
+        if (
+            now - self._last_message_ms.get(owner, -math.inf)
+            < PROBE_INTERVAL_MS
+        ):
+            # Its grants and heartbeats show that it is live. Responding to
+            # probes from each instance of the fleet would cost the owner more
+            # than sending those.
             return
         since_ms = self._unanswered_ms.setdefault(owner, now)
-        if now - since_ms > SILENCE_MS:
+        if now - since_ms > SILENCE_TIMEOUT_MS:
             _LOGGER.warning('owner is silent', owner=owner)
             await self._peers.async_drop(owner)
             return
-        beat = Heartbeat(sequence=int(since_ms), is_reply=False)
-        await self._peers.async_send(owner, beat)
+        probe = Heartbeat(sequence=int(since_ms), is_reply=False)
+        await self._peers.async_send(owner, probe)
--- a/hornbeamdeck/process/peer_server.py
+++ b/hornbeamdeck/process/peer_server.py
@@ -1,4 +1,4 @@
-"""Serves the peers that ask this process for grants."""
+"""Serves incoming connections of peers."""
 
 import itertools
 from collections.abc import Awaitable, Callable
@@ -44,16 +44,16 @@
 ) -> ServeConnection:
     """Make the function that serves one peer's connection.
 
-    :param on_other: told of messages that are neither for an owner nor
-        answered here, with the peer and what answers it.
+    :param on_other: called with each message that is not for an owner: the
+        peer, the message and a function that sends a response.
     """
     sequence = itertools.count()
 
     async def _async_serve(sock: socket.socket) -> None:
         connection = PeerConnection(sock, identity)
-        proved = await connection.async_handshake(is_caller=False)
-        if isinstance(proved, Err):
-            _LOGGER.warning('peer refused', cause=proved.err_value.cause)
+        authenticated = await connection.async_handshake(is_caller=False)
+        if isinstance(authenticated, Err):
+            _LOGGER.warning('peer refused', cause=authenticated.err_value.cause)
             return
         sender = f'{connection.peer_id}#{next(sequence)}'
 
@@ -79,10 +79,10 @@
         try:
             broken = await async_run_peer(connection, _async_received)
         finally:
-            # Also where the serving fails: what a lost ingress had asked for
-            # would hold places for ever.
+            # This also runs when serving fails. Otherwise the requests of a
+            # lost ingress would hold slots forever.
             await scheduler.async_drop_sender(sender)
-        _LOGGER.info('peer gone', peer=sender, cause=broken.cause)
+        _LOGGER.info('peer disconnected', peer=sender, cause=broken.cause)
 
     return _async_serve
 
--- a/hornbeamdeck/process/peers.py
+++ b/hornbeamdeck/process/peers.py
@@ -25,7 +25,7 @@
 
 
 class Peers:
-    """One outgoing connection for each peer that owns what is asked here."""
+    """Outgoing connections, one for each peer that messages are sent to."""
 
     def __init__(
         self,
@@ -34,9 +34,10 @@
         *,
         on_version: OnVersion,
     ) -> None:
-        """Open nothing yet.
+        """Start without connections.
 
-        :param on_version: told each message's peer and configuration version.
+        :param on_version: called with the peer and the configuration version
+            of each message.
         """
         self._membership = membership
         self._identity = identity
@@ -47,18 +48,18 @@
         self._tasks: dict[str, Task] = {}
 
     def listen(self, on_message: OnMessage, on_lost: OnLost) -> None:
-        """Say who receives messages and learns of lost peers."""
+        """Set the callbacks for messages and for lost connections."""
         self._on_message = on_message
         self._on_lost = on_lost
 
     async def async_send(self, peer_id: str, message: Message) -> None:
-        """Queue a message to a peer, connecting first where needed."""
+        """Queue a message to a peer, connecting first if needed."""
         outbox = self._outboxes.get(peer_id)
         if outbox is None:
             outbox = Queue()
             self._outboxes[peer_id] = outbox
             self._tasks[peer_id] = await spawn(
-                self._async_link,
+                self._async_run_link,
                 peer_id,
                 outbox,
                 daemon=True,
@@ -66,15 +67,15 @@
         await outbox.put(message)
 
     def has_link(self, peer_id: str) -> bool:
-        """Whether a connection to a peer is open or being opened."""
+        """Return whether a connection to a peer is open or being opened."""
         return peer_id in self._outboxes
 
     async def async_drop(self, peer_id: str) -> None:
-        """Give a peer up that is silent; its loss is reported at once."""
+        """Close the connection to a silent peer and report it lost at once."""
         task = self._tasks.get(peer_id)
         if task is not None:
             await task.cancel()
-            await self._async_lost(peer_id)
+            await self._async_report_lost(peer_id)
 
     async def async_close(self) -> None:
         """Close all connections without reporting them lost."""
@@ -83,15 +84,15 @@
             _, task = self._tasks.popitem()
             await task.cancel()
 
-    async def _async_link(self, peer_id: str, outbox: Queue) -> None:
-        cause = await self._async_run(peer_id, outbox)
-        _LOGGER.info('peer lost', peer=peer_id, cause=cause)
-        await self._async_lost(peer_id)
+    async def _async_run_link(self, peer_id: str, outbox: Queue) -> None:
+        cause = await self._async_connect_and_run(peer_id, outbox)
+        _LOGGER.info('connection to peer lost', peer=peer_id, cause=cause)
+        await self._async_report_lost(peer_id)
 
-    async def _async_run(self, peer_id: str, outbox: Queue) -> str:
+    async def _async_connect_and_run(self, peer_id: str, outbox: Queue) -> str:
         status = self._membership.status_of(peer_id)
         if status is None:
-            return 'no status object'
+            return 'no status object is known for the peer'
         opened = await PeerConnection.async_open(
             status.peer_address,
             self._identity,
@@ -101,7 +102,7 @@
         connection = opened.ok_value
         if connection.peer_id != peer_id:
             await connection.async_close()
-            return f'{connection.peer_id} answers at its address'
+            return f'{connection.peer_id} responded at its address'
         self._membership.clear(peer_id)
         connection.take_over(outbox)
 
@@ -112,7 +113,7 @@
 
         return (await async_run_peer(connection, _async_received)).cause
 
-    async def _async_lost(self, peer_id: str) -> None:
+    async def _async_report_lost(self, peer_id: str) -> None:
         self._outboxes.pop(peer_id, None)
         self._tasks.pop(peer_id, None)
         self._membership.suspect(peer_id)
--- a/hornbeamdeck/process/policy.py
+++ b/hornbeamdeck/process/policy.py
@@ -1,4 +1,4 @@
-"""The shape that all ways to place a request share."""
+"""The interface of placement policies."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, TypeAlias
@@ -16,11 +16,13 @@
 
 
 class Policy(NamedTuple):
-    """How a request gets an upstream, as closures.
+    """A policy that assigns upstreams to requests.
 
-    :param acquire: waits until an upstream may be used and names it.
-    :param first_token: told a request id and its time to first token, ms.
-    :param release: told a request id, how its run ended and after how long.
+    :param acquire: waits until an upstream may be used and returns its name.
+    :param first_token: called with a request id and its time to first token
+        in milliseconds.
+    :param release: called with a request id, how its run ended and the run's
+        duration in milliseconds.
     """
 
     acquire: Acquire
--- a/hornbeamdeck/process/scheduler.py
+++ b/hornbeamdeck/process/scheduler.py
@@ -1,4 +1,4 @@
-"""The cells that this process owns, and the messages about them."""
+"""The cells that this process owns, and the handling of messages to them."""
 
 from collections.abc import Iterable
 from typing import Final, TypeAlias
@@ -35,21 +35,22 @@
 
 
 class Scheduler:
-    """Answers what ingress instances ask of the cells owned here.
+    """Handles messages of ingress instances to the cells owned here.
 
-    It owns a cell for whoever asks: two owners of one cell, for the moment in
-    which views differ, each grant on what they know, which costs queueing at
-    an engine and no promise.
+    It acts as owner of a cell for every ingress that sends it messages. While
+    views of the membership differ, a cell may have two owners for a moment, and
+    each grants by its own view. This may queue requests at an engine but breaks
+    no guarantee.
     """
 
     def __init__(self) -> None:
-        """Start without cells; `adopt` brings them."""
+        """Start without cells; `adopt` adds them."""
         self.cells: dict[str, AnyCell] = {}
-        self._leaving: frozenset[str] = frozenset()
-        self._waiting = Event()
+        self._draining: frozenset[str] = frozenset()
+        self._has_waiting = Event()
 
     def adopt(self, configuration: Configuration) -> None:
-        """Take over a new configuration; one cell a service today."""
+        """Apply a new configuration; each service has one cell today."""
         weights = {
             team.name: team.weight
             for team in configuration.teams_by_key.values()
@@ -65,18 +66,20 @@
                 weights=weights,
                 top_rank=min(ranks, default=0),
             )
-        for gone in self.cells.keys() - configuration.services.keys():
-            self.cells.pop(gone)
-        self.note_leaving(self._leaving)
+        for removed in self.cells.keys() - configuration.services.keys():
+            self.cells.pop(removed)
+        self.note_leaving(self._draining)
 
     def note_leaving(self, addresses: Iterable[str]) -> None:
-        """Give no more work to upstreams at these addresses."""
-        self._leaving = frozenset(addresses)
-        plain = (each for each in self.cells.values() if isinstance(each, Cell))
-        for cell in plain:
+        """Grant no more requests to the upstreams at these addresses."""
+        self._draining = frozenset(addresses)
+        plain_cells = (
+            each for each in self.cells.values() if isinstance(each, Cell)
+        )
+        for cell in plain_cells:
             for load in cell.loads.values():
                 address = str(load.upstream.address)
-                load.is_leaving = address in self._leaving
+                load.is_leaving = address in self._draining
 
     async def async_receive(
         self,
@@ -85,10 +88,10 @@
         sender: str,
         deliver: Deliver,
     ) -> None:
-        """Act on one message of an ingress.
+        """Handle one message from an ingress.
 
-        :param sender: the connection it came by.
-        :param deliver: sends an answer back on it.
+        :param sender: identifies the connection that the message came by.
+        :param deliver: sends a response on that connection.
         """
         cell = self.cells.get(message.cell)
         if cell is None:
@@ -116,26 +119,27 @@
         await self._async_grant(cell)
 
     async def async_regrant(self) -> None:
-        """Look at all cells again, since what they know has changed."""
+        """Evaluate all cells again after a change to their data."""
         for cell in tuple(self.cells.values()):
             await self._async_grant(cell)
 
     async def async_drop_sender(self, sender: str) -> None:
-        """Forget all that came by a connection that has gone."""
+        """Remove all requests and runs of a closed connection."""
         for cell in self.cells.values():
             cell.drop_sender(sender)
             await self._async_grant(cell)
 
     async def async_sweep(self) -> None:
-        """Refuse, for ever, what can no longer end in time.
+        """Refuse, periodically, requests that can no longer end in time.
 
-        Grants alone would not notice: while every place is held by a long
-        answer, a request whose time is up would wait on with no final answer.
+        Evaluating grants is not enough: while long responses occupy all slots,
+        no message arrives, and a request past its deadline would wait on
+        without a final response.
         """
         while True:
             if not any(map(len, self.cells.values())):
-                self._waiting.clear()
-                await self._waiting.wait()
+                self._has_waiting.clear()
+                await self._has_waiting.wait()
             await sleep(SWEEP_MS / MILLIS_PER_SECOND)
             await self.async_regrant()
 
@@ -154,13 +158,13 @@
         )
         if refused is not None:
             await _async_refuse(refused)
-        await self._waiting.set()
+        await self._has_waiting.set()
 
     async def _async_grant(self, cell: AnyCell) -> None:
         now = now_ms()
-        given_up = [*cell.expire(now), *cell.displace()]
+        refusals = [*cell.expire(now), *cell.displace()]
         granted = list(cell.grants(now))
-        for refused in given_up:
+        for refused in refusals:
             await _async_refuse(refused)
         for grant in granted:
             request = grant.ticket.request
@@ -185,7 +189,7 @@
     async def _async_no_cell(self, message: ToOwner, deliver: Deliver) -> None:
         if not isinstance(message, Enqueue):
             return
-        _LOGGER.info('unknown cell asked for', cell=message.cell)
+        _LOGGER.info('unknown cell requested', cell=message.cell)
         refusal = Refuse(
             request_id=message.request_id,
             reason=RefusalReason.UNKNOWN_CELL,
--- a/hornbeamdeck/process/snapshot.py
+++ b/hornbeamdeck/process/snapshot.py
@@ -1,9 +1,9 @@
-"""What peers give each other while the platform does not answer.
+"""Snapshots that peers exchange while the store does not answer.
 
-An instance that starts during an outage of the platform knows neither the
-configuration nor its peers; one whose watch hangs knows an old version. Both
-ask a peer, on a short connection of its own, so that a large document never
-stands before a grant.
+An instance that starts during an outage of the store has neither the
+configuration nor the status of its peers; one whose watch hangs has an old
+version. Both request a snapshot from a peer on a separate short-lived
+connection, so that a large document never delays a grant.
 """
 
 from typing import Final, Generic, TypeVar
@@ -32,17 +32,17 @@
 
 _LOGGER = structlog.get_logger(prefix='snapshot')
 
-# An instance that starts has nobody else to ask.
-ANSWER_TIMEOUT_MS: Final = 3000
-# One that is behind can ask the platform instead, and a change must be in force
-# within two seconds, a beat or two of which have passed.
+# An instance that starts during an outage of the store has no other source.
+SEED_TIMEOUT_MS: Final = 3000
+# An instance with an old version can also read the store. A change must be in
+# force within two seconds, of which one or two heartbeat intervals have passed.
 HINT_TIMEOUT_MS: Final = 500
 
 _Held = TypeVar('_Held', bound=HeldDocument)
 
 
 class Snapshots(Generic[_Held]):
-    """Gives and takes snapshots of configuration and membership."""
+    """Serves and requests snapshots of configuration and membership."""
 
     def __init__(
         self,
@@ -50,46 +50,49 @@
         membership: Membership,
         identity: PeerIdentity,
     ) -> None:
-        """Take the parts that a snapshot is made of and goes to."""
+        """Use the parts that snapshots are made from and applied to."""
         self._follower = follower
         self._membership = membership
         self._identity = identity
 
-    def give(self, asked: AskSnapshot) -> Snapshot:
-        """Make a snapshot of what is known here."""
-        known = self._follower.configuration
-        is_newer = known.version > asked.known_version
+    def give(self, request: AskSnapshot) -> Snapshot:
+        """Make a snapshot of the configuration and the live instances."""
+        held = self._follower.configuration
+        is_newer = held.version > request.known_version
         return Snapshot(
-            configuration_version=known.version,
-            document=known.document if is_newer else '',
+            configuration_version=held.version,
+            document=held.document if is_newer else '',
             statuses=[each.to_text() for each in self._membership.live()],
         )
 
     async def async_take_from_peer(self, peer_id: str) -> None:
-        """Ask one peer and take over what is newer."""
+        """Request a snapshot from one peer and apply what is newer."""
         status = self._membership.status_of(peer_id)
         if status is not None:
-            await self._async_take(status.peer_address, HINT_TIMEOUT_MS)
+            await self._async_apply_from(status.peer_address, HINT_TIMEOUT_MS)
 
     async def async_seed(self, seeds: tuple[Address, ...]) -> None:
-        """Ask seeds in turn until a configuration is in force, from anywhere.
+        """Request snapshots from the seeds in turn until one is applied.
 
-        The platform is asked at the same time; whoever answers first wins.
+        The store is read at the same time. Stop as soon as a configuration is
+        in force, from whichever source came first.
         """
         waits = backoff_s()
         while seeds and not self._follower.configuration.version:
             for address in seeds:
-                await self._async_take(address, ANSWER_TIMEOUT_MS)
+                await self._async_apply_from(address, SEED_TIMEOUT_MS)
             await sleep(next(waits))
 
-    async def _async_take(self, address: Address, timeout_ms: int) -> None:
-        answer = await self._async_ask(address, timeout_ms)
-        if isinstance(answer, Err):
+    async def _async_apply_from(
+        self, address: Address, timeout_ms: int
+    ) -> None:
+        response = await self._async_request(address, timeout_ms)
+        if isinstance(response, Err):
             _LOGGER.info('no snapshot', peer=str(address))
             return
-        snapshot = answer.ok_value
+        snapshot = response.ok_value
         for text in snapshot.statuses:
-            self._note_status(text)
+            self._apply_status(text)
         if snapshot.document:
             stored = StoredObject(
                 KEY_CONFIGURATION,
@@ -98,33 +101,33 @@
             )
             await self._follower.async_note(stored)
 
-    def _note_status(self, text: str) -> None:
+    def _apply_status(self, text: str) -> None:
         try:
             status = InstanceStatus.from_text(text)
         except ValueError:
             return
         if self._membership.status_of(status.instance_id) is not None:
-            # What the platform has told is at least as new.
+            # A status read from the store is at least as new.
             return
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
         self._membership.note_status(StoredObject(key, 0, text))
 
-    async def _async_ask(
+    async def _async_request(
         self,
         address: Address,
         timeout_ms: int,
     ) -> Result[Snapshot, PeerError]:
-        # The bound holds for connecting too: a peer without power answers
-        # nothing at all.
+        # The timeout includes connecting, since a host that is powered off
+        # never responds.
         try:
             return await async_within(
                 timeout_ms,
-                self._async_ask_patiently(address),
+                self._async_request_without_timeout(address),
             )
         except TaskTimeout:
-            return Err(ConnectionBroken('no snapshot in time'))
+            return Err(ConnectionBroken('timed out waiting for a snapshot'))
 
-    async def _async_ask_patiently(
+    async def _async_request_without_timeout(
         self,
         address: Address,
     ) -> Result[Snapshot, PeerError]:
@@ -150,5 +153,5 @@
             return received
         snapshot = received.ok_value.snapshot
         if snapshot is None:
-            return Err(ConnectionBroken('something else than a snapshot'))
+            return Err(ConnectionBroken('expected a snapshot message'))
         return Ok(snapshot)
--- a/hornbeamdeck/process/spending.py
+++ b/hornbeamdeck/process/spending.py
@@ -1,4 +1,4 @@
-"""What teams have spent lately, as one ingress remembers it."""
+"""Tokens that teams have spent recently, as recorded by ingress instances."""
 
 import math
 from collections import deque
@@ -19,32 +19,32 @@
 class SpendingLog:
     """Tokens granted to requests of this ingress within a window.
 
-    An owner keeps its teams' limits in memory. Were its knowledge gone with
-    it, the next one would grant each team a whole burst anew.
+    An owner keeps the spending of teams in memory. If it were lost with the
+    owner, the next owner would grant each team a full burst again.
     """
 
     def __init__(self, window_ms: float) -> None:
-        """Remember so long, milliseconds."""
+        """Keep spending for a window in milliseconds."""
         self._window_ms = window_ms
         self._log: deque[_Spent] = deque()
         self._totals: dict[str, int] = {}
 
     def add(self, team: str, tokens: int, now: float) -> None:
-        """Note what a request that was granted counts."""
+        """Record the tokens that a granted request counts."""
         if not tokens:
             return
         self._log.append(_Spent(now, team, tokens))
         self._totals[team] = self._totals.get(team, 0) + tokens
 
     def report(self, now: float) -> list[Spending]:
-        """Tell each team's spending within the window."""
+        """Return each team's spending within the window."""
         while self._log and self._log[0].at_ms < now - self._window_ms:
-            gone = self._log.popleft()
-            left = self._totals[gone.team] - gone.tokens
-            if left:
-                self._totals[gone.team] = left
+            expired = self._log.popleft()
+            remaining = self._totals[expired.team] - expired.tokens
+            if remaining:
+                self._totals[expired.team] = remaining
             else:
-                self._totals.pop(gone.team)
+                self._totals.pop(expired.team)
         return [
             Spending(team=team, tokens=tokens)
             for team, tokens in self._totals.items()
@@ -52,13 +52,13 @@
 
 
 class SpendingReports:
-    """What all ingress instances report, as an owner or its next sees it."""
+    """Spending reports of all ingress instances, for an owner or successor."""
 
     def __init__(self, window_ms: float) -> None:
         """Start without reports."""
         self._window_ms = window_ms
         self._reports: dict[str, dict[str, int]] = {}
-        self._memory_until: dict[str, float] = {}
+        self._record_durations_ms: dict[str, float] = {}
 
     def note(
         self,
@@ -66,27 +66,30 @@
         spent: Iterable[Spending],
         memory_ms: float,
     ) -> None:
-        """Take in one report.
+        """Record the report of one instance.
 
-        :param memory_ms: how long the reporter has been running.
+        :param memory_ms: how long the instance has recorded its spending.
         """
         self._reports[peer_id] = {each.team: each.tokens for each in spent}
-        self._memory_until[peer_id] = memory_ms
+        self._record_durations_ms[peer_id] = memory_ms
 
     def forget(self, peer_id: str) -> None:
-        """Drop the report of an instance that has gone."""
+        """Drop the report of a removed instance."""
         self._reports.pop(peer_id, None)
-        self._memory_until.pop(peer_id, None)
+        self._record_durations_ms.pop(peer_id, None)
 
     def spent(self, team: str) -> int:
-        """Sum what is reported of a team."""
+        """Return a team's spending summed over all reports."""
         return sum(report.get(team, 0) for report in self._reports.values())
 
     def is_complete(self) -> bool:
-        """Whether most reporters remember a whole window."""
-        remembering = sum(
+        """Return whether enough reports cover a whole window.
+
+        At least half of the instances must, and at least one.
+        """
+        covering = sum(
             memory_ms >= self._window_ms
-            for memory_ms in self._memory_until.values()
+            for memory_ms in self._record_durations_ms.values()
         )
-        needed = math.ceil(len(self._memory_until) / 2)
-        return remembering >= max(needed, 1)
+        needed = math.ceil(len(self._record_durations_ms) / 2)
+        return covering >= max(needed, 1)
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -36,12 +36,12 @@
             st.sampled_from(NAMES),
             st.sampled_from(STATES),
         ),
-        st.tuples(st.just('gone'), st.sampled_from(NAMES)),
+        st.tuples(st.just('delete'), st.sampled_from(NAMES)),
         st.tuples(st.just('suspect'), st.sampled_from(NAMES)),
         st.tuples(st.just('clear'), st.sampled_from(NAMES)),
         st.tuples(st.just('list'), st.sets(st.sampled_from(NAMES))),
-        st.tuples(st.just('pass'), st.integers(1, 20_000)),
-        st.tuples(st.just('leave')),
+        st.tuples(st.just('advance clock'), st.integers(1, 20_000)),
+        st.tuples(st.just('drain')),
     ),
     max_size=40,
 )
@@ -51,7 +51,7 @@
     match step:
         case ('status', name, state):
             members.note_status(stored(name, state))
-        case ('gone', name):
+        case ('delete', name):
             members.note_status(StoredObject(f'instances/{name}', 2, None))
         case ('suspect', name):
             members.suspect(name)
@@ -64,7 +64,7 @@
                     for name in sorted(names)
                 ),
             )
-        case ('leave',):
+        case ('drain',):
             members.own = members.own._replace(state='leaving')
 
 
@@ -81,7 +81,7 @@
         members = Membership(status('a'))
         members.note_published()
         for step in steps:
-            if step[0] == 'pass':
+            if step[0] == 'advance clock':
                 clock[0] += step[1]
             _apply(members, step)
             live = [each.instance_id for each in members.live()]
--- a/tests/process/test_outages.py
+++ b/tests/process/test_outages.py
@@ -1,4 +1,4 @@
-"""The platform down, slow or cut off, and instances that help each other."""
+"""Behaviour of instances while the store is down, slow or cut off."""
 
 import json
 
@@ -22,14 +22,15 @@
         if instance.parts.follower.configuration.version >= version:
             return
         await sleep(0.01)
-    raise AssertionError('the version did not come')
+    raise AssertionError('the version did not arrive in time')
 
 
 @on_fleet(PLAN)
 async def test_instance_started_in_an_outage_serves(fleet: Fleet) -> None:
-    """An instance is replaced while the platform is down. With no way to the
-    configuration it would refuse every guide until the platform is back; so
-    it asks a peer, and takes no cell from the others before they know of it.
+    """An instance is replaced while the store is down. Without a configuration
+    it would refuse every request until the store is back, so it requests a
+    snapshot from a peer. It must not take over cells before the others have
+    its status.
     """
     _set(fleet, is_down=True)
     seed = fleet.instances[0].own.peer_address
@@ -45,19 +46,19 @@
 async def test_version_spreads_by_peers_when_watch_hangs(
     fleet: Fleet,
 ) -> None:
-    """A document is accepted and the platform fails in the next moment, before
-    one instance has seen the change. A message from a peer tells it, and the
-    peer gives the document.
+    """The store fails right after accepting a document, before one instance
+    has received the change. The instance learns of the new version from a
+    peer's message and must get the document from that peer.
     """
     owner = fleet.owner_of('desk')
     behind = next(each for each in fleet.instances if each is not owner)
     follower = behind.parts.follower
 
-    async def _async_blind(change: object) -> None:
+    async def _async_ignore_change(change: object) -> None:
         await sleep(0)
 
     real_note = follower.async_note
-    follower.async_note = _async_blind  # type: ignore[method-assign]
+    follower.async_note = _async_ignore_change  # type: ignore[method-assign]
     document = json.loads(follower.configuration.document)
     document['teams'][0]['weight'] = 7
     await fleet.async_put_document(json.dumps(document))
@@ -71,8 +72,8 @@
 
 @on_fleet(PLAN)
 async def test_outage_stops_bookings_only(fleet: Fleet) -> None:
-    """The platform is down. Guides are served as ever; a booking is refused as
-    not run, once its deadline shows that no claim can be made, and runs when
+    """While the store is down, guide requests are served as usual. A booking is
+    refused as not run when its deadline passes without a claim, and runs when
     it is sent again after the outage.
     """
     _set(fleet, is_down=True)
@@ -89,18 +90,18 @@
 
 
 @on_fleet(PLAN)
-async def test_caller_that_leaves_during_the_claim_can_come_back(
+async def test_claim_is_released_when_the_caller_disconnects(
     fleet: Fleet,
 ) -> None:
-    """The platform is slow, and a family's phone drops the connection while
-    the claim of its booking is being made. Were that claim left, the family
-    could never book with this key again.
+    """The store is slow, and a caller disconnects while the claim for its
+    booking is being made. If the claim remained, the caller could never book
+    with this idempotency key again.
     """
     _set(fleet, delay_ms=300)
     address = fleet.instances[0].own.address
-    hasty = await spawn(async_call, booking_entry('hasty'), 1, address)
+    first_call = await spawn(async_call, booking_entry('hasty'), 1, address)
     await sleep(0.1)
-    await hasty.cancel()
+    await first_call.cancel()
     await sleep(0.5)
     _set(fleet, delay_ms=0)
     outcomes = []
@@ -113,9 +114,9 @@
 
 
 @on_fleet(PLAN)
-async def test_leaving_engine_gets_no_new_work(fleet: Fleet) -> None:
-    """The platform lists the engine as leaving. A request sent to it would be
-    cut off when it goes; so within one reading of the list nothing more is.
+async def test_draining_engine_gets_no_new_work(fleet: Fleet) -> None:
+    """The platform lists the engine as draining. A request sent to it would be
+    cut off when it stops, so none may be sent after the next read of the list.
     """
     engine = str(fleet.listeners[0].address)
     fleet.platform.listed[engine] = 'leaving'
@@ -132,8 +133,8 @@
 async def test_stale_document_never_replaces_a_newer_one(
     fleet: Fleet,
 ) -> None:
-    """A list answer that was under way for long shows the document before the
-    last. Taken over, it would bring back what an operator has just removed.
+    """A delayed list response contains the previous document. If it were
+    applied, it would restore what an operator has just removed.
     """
     parts = fleet.instances[0].parts
     old = parts.follower.configuration
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -1,4 +1,4 @@
-"""Owners of cells that die, freeze or are cut off while requests wait."""
+"""Owners that stop, freeze or lose their cell while requests wait."""
 
 from curio import TaskGroup, sleep
 
@@ -15,22 +15,22 @@
     return [each for each in fleet.instances if each is not owner]
 
 
-async def _async_ask_others(
+async def _async_send_requests(
     group: TaskGroup,
-    others: list[Instance],
+    instances: list[Instance],
 ) -> None:
     entry = desk_entry(deadline_ms=30_000, output_tokens=4)
     for number in range(WAITING):
-        address = others[number % len(others)].own.address
+        address = instances[number % len(instances)].own.address
         await group.spawn(async_call, entry, number, address)
 
 
-async def _async_until_waiting(others: list[Instance], count: int) -> None:
-    while sum(each.parts.grants.waiting for each in others) < count:
+async def _async_until_waiting(instances: list[Instance], count: int) -> None:
+    while sum(each.parts.grants.waiting for each in instances) < count:
         await sleep(0.005)
 
 
-def _assert_each_answered_once(
+def _assert_each_ran_once(
     fleet: Fleet,
     records: list[CallRecord],
 ) -> None:
@@ -42,25 +42,25 @@
 
 
 @on_fleet(PLAN)
-async def test_owner_dies_with_fifty_waiting(fleet: Fleet) -> None:
-    """The instance that hands out the places of the only engine dies while
-    fifty guides' requests wait at the other two. No guide notices more than a
-    short pause: each gets its own answer, and the engine ran each once.
+async def test_owner_is_killed_with_fifty_waiting(fleet: Fleet) -> None:
+    """The owner, which grants the slots of the only engine, is killed while
+    fifty requests wait at the other two instances. Each request must get its
+    own response after a short gap, and the engine must run each once.
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
     async with TaskGroup() as group:
-        await _async_ask_others(group, others)
+        await _async_send_requests(group, others)
         await _async_until_waiting(others, WAITING - PLAN.max_running - 4)
         await owner.async_kill()
-    _assert_each_answered_once(fleet, list(group.results))
+    _assert_each_ran_once(fleet, list(group.results))
 
 
 @on_fleet(PLAN)
 async def test_owner_freezes_with_fifty_waiting(fleet: Fleet) -> None:
-    """The owner accepts connections and never answers again, as a stopped
-    process does. Without heartbeats the requests that wait for it would all
-    be late; so another instance takes over after about a second.
+    """The owner accepts connections but no longer responds, like a suspended
+    process. Without liveness probes, all requests that wait for it would miss
+    their deadlines. Another instance must become owner after about a second.
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
@@ -69,17 +69,18 @@
         await sleep(60)
 
     async with TaskGroup() as group:
-        await _async_ask_others(group, others)
+        await _async_send_requests(group, others)
         await _async_until_waiting(others, WAITING - PLAN.max_running - 4)
         owner.parts.scheduler.async_receive = _async_silent  # type: ignore[method-assign]
-    _assert_each_answered_once(fleet, list(group.results))
+    _assert_each_ran_once(fleet, list(group.results))
 
 
 @on_fleet(PLAN)
 async def test_new_owner_counts_runs_of_the_old(fleet: Fleet) -> None:
-    """The owner dies while answers are under way. Unless their ingress
-    instances tell the next owner of them, it takes the engine for idle and
-    sends it twice what it can hold, and every guide's answer slows down.
+    """The owner is killed while responses are being generated. If the ingress
+    instances did not register these runs with the next owner, it would consider
+    the engine idle and send it twice what it can hold, which slows down every
+    response.
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
@@ -92,8 +93,10 @@
         await owner.async_kill()
         await sleep(0.2)
         name = others[0].parts.membership.owner_of('desk')
-        heir = next(each for each in others if each.own.instance_id == name)
-        load = heir.parts.scheduler.cells['desk'].loads['engine-0']
+        successor = next(
+            each for each in others if each.own.instance_id == name
+        )
+        load = successor.parts.scheduler.cells['desk'].loads['engine-0']
         assert len(load.runs) == PLAN.max_running
     assert all(record.is_whole for record in group.results)
 
@@ -102,10 +105,10 @@
 async def test_owner_that_lost_the_cell_forgets_its_runs(
     fleet: Fleet,
 ) -> None:
-    """One instance takes the owner for dead for a moment, as after a short
-    break in the network, and turns to the next. The first owner lives on; when
-    the cell comes back to it, it must not take the engine for full of answers
-    that ended long ago.
+    """One instance suspects the owner for a moment, as after a short network
+    failure, and uses the next owner. The first owner is still live. When it
+    owns the cell again, it must not count runs that have ended and consider
+    the engine full.
     """
     owner = fleet.owner_of('desk')
     ingress = _others(fleet, owner)[0]
@@ -128,14 +131,16 @@
 
 
 @on_fleet(PLAN)
-async def test_planned_stop_of_owner_cuts_nothing(fleet: Fleet) -> None:
-    """An operator replaces the instance that owns the cell, while callers wait
-    at it and at the others. Nobody's answer is cut off or refused.
+async def test_graceful_shutdown_of_owner_breaks_no_request(
+    fleet: Fleet,
+) -> None:
+    """An operator replaces the instance that owns the cell while callers wait
+    at it and at the others. No response may be cut off or refused.
     """
     owner = fleet.owner_of('desk')
     async with TaskGroup() as group:
-        await _async_ask_others(group, fleet.instances)
+        await _async_send_requests(group, fleet.instances)
         await _async_until_waiting(fleet.instances, WAITING // 2)
         cut_off = await owner.async_stop()
     assert cut_off == 0
-    _assert_each_answered_once(fleet, list(group.results))
+    _assert_each_ran_once(fleet, list(group.results))
--- a/tests/process/test_spending.py
+++ b/tests/process/test_spending.py
@@ -1,10 +1,10 @@
-"""What teams have spent, as ingresses report it."""
+"""Spending of teams as reported by ingress instances."""
 
 from hornbeamdeck.process.spending import SpendingLog, SpendingReports
 from hornbeamdeck.wire import Spending
 
 
-def test_the_log_forgets_what_the_window_has_left() -> None:
+def test_spending_log_drops_what_is_outside_the_window() -> None:
     log = SpendingLog(8000)
     log.add('guides', 100, 0)
     log.add('guides', 50, 5000)
@@ -13,7 +13,7 @@
     assert not log.report(20_000)
 
 
-def test_reports_add_up_and_a_new_one_replaces_the_old() -> None:
+def test_reports_add_up_and_are_replaced_per_instance() -> None:
     reports = SpendingReports(8000)
     reports.note('a', [Spending(team='guides', tokens=100)], 9000)
     reports.note('a', [Spending(team='guides', tokens=120)], 9300)
@@ -23,7 +23,7 @@
     assert reports.spent('guides') == 7
 
 
-def test_young_reporters_do_not_remember_a_window() -> None:
+def test_reports_are_incomplete_while_most_instances_are_new() -> None:
     reports = SpendingReports(8000)
     assert not reports.is_complete()
     reports.note('a', [], 100)
