--- a/hornbeamdeck/process/proofs.py
+++ b/hornbeamdeck/process/proofs.py
@@ -2,8 +2,8 @@
 
 Heartbeats keep the view current while the owner and the peers are responsive.
 A process that lags, or whose owner lags, must not use its view for longer than
-a change may take to be in force. A request therefore triggers a new read of
-what it depends on, and waits for it.
+a change may take to be in force. If the view is too old, a request triggers a
+new read of what it depends on and waits for it.
 """
 
 from collections.abc import Awaitable, Callable
--- a/hornbeamdeck/process/scheduler.py
+++ b/hornbeamdeck/process/scheduler.py
@@ -130,11 +130,11 @@
             await self._async_grant(cell)
 
     async def async_sweep(self) -> None:
-        """Refuse, periodically, requests that can no longer end in time.
+        """Periodically refuse requests that can no longer end in time.
 
-        Evaluating grants is not enough: while long responses occupy all slots,
-        no message arrives, and a request past its deadline would wait on
-        without a final response.
+        Evaluating grants alone is not enough: while long responses occupy all
+        slots, a request past its deadline would wait on without a final
+        response.
         """
         while True:
             if not any(map(len, self.cells.values())):
