--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -1,4 +1,4 @@
-"""A cell: a group of upstreams and the tiered queue before them."""
+"""A cell: a group of upstreams and the queue of requests for them, by tier."""
 
 import heapq
 from collections.abc import Generator, Iterable, Iterator, Mapping
@@ -24,15 +24,15 @@
 __all__ = ('Cell', 'Granted', 'Refused')
 
 MAX_WAIT_MS: Final = 60_000
-MAX_STEPPED_OVER: Final = 8
+MAX_SKIPPED: Final = 8
 MIN_RETRY_MS: Final = 500
 MAX_RETRY_MS: Final = 30_000
 
 
 class Granted(NamedTuple):
-    """A ticket that may run, and where.
+    """A request that may run, and on which upstream.
 
-    :param held_for: why it waited while upstreams had places, if it did.
+    :param held_for: why it waited while upstreams had free slots, if it did.
     """
 
     ticket: Ticket
@@ -42,9 +42,9 @@
 
 
 class Refused(NamedTuple):
-    """A ticket given up on, and what its ingress is told.
+    """A refused request and the refusal to send to its ingress.
 
-    :param facts: what decided it, for the log.
+    :param facts: what the refusal was based on, as log fields.
     """
 
     ticket: Ticket
@@ -56,7 +56,7 @@
     """Decides which waiting request runs next and on which upstream."""
 
     def __init__(self) -> None:
-        """Start without upstreams; `adopt` brings them."""
+        """Start without upstreams; `adopt` adds them."""
         self.loads: dict[str, UpstreamLoad] = {}
         self.suspicions = Suspicions()
         self._tiers: dict[int, TierQueue] = {}
@@ -65,7 +65,7 @@
         self._top_rank = 0
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
+        """Return the number of waiting requests."""
         return sum(map(len, self._tiers.values()))
 
     def adopt(
@@ -75,12 +75,12 @@
         weights: Mapping[str, int],
         top_rank: int,
     ) -> None:
-        """Take over what a new configuration says of this cell."""
+        """Apply this cell's part of a new configuration."""
         self._weights = weights
         self._top_rank = top_rank
         names = {each.name for each in upstreams}
-        for gone in self.loads.keys() - names:
-            self.loads.pop(gone)
+        for dropped in self.loads.keys() - names:
+            self.loads.pop(dropped)
         for upstream in upstreams:
             load = self.loads.setdefault(
                 upstream.name,
@@ -96,7 +96,7 @@
         deliver: Deliver,
         now: float,
     ) -> Refused | None:
-        """Queue a request, or refuse it where it can't be answered in time."""
+        """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
         ticket = Ticket(
             request=request,
@@ -123,7 +123,7 @@
         return None
 
     def displace(self) -> Iterator[Refused]:
-        """Shed while all waiting work exceeds the bound, lowest tier first."""
+        """Refuse requests, lowest tier first, while the queue is too long."""
         while self._wait_ms(max(self._tiers, default=0)) > MAX_WAIT_MS:
             lowest = max(rank for rank, queue in self._tiers.items() if queue)
             queue = self._tiers[lowest]
@@ -132,7 +132,7 @@
             yield self._refuse(ticket, RefusalReason.OVERLOADED)
 
     def expire(self, now: float) -> Iterator[Refused]:
-        """Give up on what could no longer end in time if started now."""
+        """Refuse requests that could no longer end in time if started now."""
         while self._latest_start and self._latest_start[0][0] < now:
             _, request_id, rank = heapq.heappop(self._latest_start)
             queue = self._tiers[rank]
@@ -143,22 +143,22 @@
     def grants(self, now: float) -> Iterator[Granted]:
         """Place waiting requests, highest tier first, until none fits.
 
-        A lower tier gets nothing while the next request of a higher one can't
-        be placed: small ones slipping past would hold the place it waits for.
-        Only a request that needs a faster upstream than those free is stepped
-        over, since what is free now is of no use to it.
+        A lower tier gets no slots while the next request of a higher tier can't
+        be placed: small requests of the lower tier would keep taking the
+        capacity that it waits for. Only a request that needs a faster upstream
+        than those that are free is skipped, since it can't use the free ones.
         """
         for rank in sorted(self._tiers):
             queue = self._tiers[rank]
-            stepped_over: list[Ticket] = []
-            is_full = yield from self._grants_of_tier(queue, stepped_over, now)
-            for ticket in stepped_over:
+            skipped: list[Ticket] = []
+            is_full = yield from self._grants_of_tier(queue, skipped, now)
+            for ticket in skipped:
                 queue.push(ticket)
             if is_full:
                 return
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a waiting request whose caller has left."""
+        """Remove a waiting request whose caller has disconnected."""
         for queue in self._tiers.values():
             if request_id in queue:
                 queue.remove(request_id)
@@ -171,20 +171,21 @@
             load.add(run, sender)
 
     def progress(self, message: Progress, now: float) -> None:
-        """Note a first token."""
-        load = self._load_running(message.request_id)
+        """Record a run's first token."""
+        load = self._find_running(message.request_id)
         if load is not None:
             load.first_token(message.request_id, message.first_token_ms, now)
 
     def release(self, message: Release, now: float) -> Suspect | None:
-        """Note the end of a run.
+        """Record the end of a run.
 
-        :returns: whom a break of the upstream is now held against, if any.
+        :returns: the request that is suspected of crashing the upstream, if
+            any.
         """
-        load = self._load_running(message.request_id)
+        load = self._find_running(message.request_id)
         if load is None:
             return None
-        together = load.fingerprints()
+        concurrent = load.fingerprints()
         run = load.release(
             message.request_id,
             message.end,
@@ -192,25 +193,25 @@
             now,
         )
         if message.end == RunEnd.NOT_DISPATCHED:
-            load.rest(now)
-        return self.suspicions.note_end(
+            load.start_backoff(now)
+        return self.suspicions.record_run_end(
             load.upstream,
             run.fingerprint,
             message.end,
-            together=together,
+            concurrent=concurrent,
             now=now,
         )
 
     def drop_sender(self, sender: str) -> None:
-        """Forget all that came by a connection that has gone."""
+        """Remove all requests and runs of a closed connection."""
         for queue in self._tiers.values():
-            gone = [each for each in queue if each.sender == sender]
-            for ticket in gone:
+            dropped = [each for each in queue if each.sender == sender]
+            for ticket in dropped:
                 queue.remove(ticket.request.request_id)
         for load in self.loads.values():
             load.drop_sender(sender)
 
-    def _load_running(self, request_id: str) -> UpstreamLoad | None:
+    def _find_running(self, request_id: str) -> UpstreamLoad | None:
         for load in self.loads.values():
             if request_id in load.runs:
                 return load
@@ -219,17 +220,17 @@
     def _grants_of_tier(
         self,
         queue: TierQueue,
-        stepped_over: list[Ticket],
+        skipped: list[Ticket],
         now: float,
     ) -> Generator[Granted, None, bool]:
-        while queue and len(stepped_over) < MAX_STEPPED_OVER:
+        while queue and len(skipped) < MAX_SKIPPED:
             ticket = queue.next_ticket()
             request = ticket.request
             load = self._place(ticket, now)
             if load is None:
                 return True
-            if self._must_wait(ticket, load, now):
-                stepped_over.append(queue.remove(request.request_id))
+            if self._must_skip(ticket, load, now):
+                skipped.append(queue.remove(request.request_id))
                 continue
             weight = self._weights.get(request.team, 1)
             queue.serve(request.request_id, weight)
@@ -237,16 +238,16 @@
             yield Granted(ticket, load.upstream.name)
         return False
 
-    def _must_wait(
+    def _must_skip(
         self,
         ticket: Ticket,
         load: UpstreamLoad,
         now: float,
     ) -> bool:
         request = ticket.request
-        needed_ms = load.trust(now) * _service_ms(load, request)
+        needed_ms = load.confidence(now) * _service_ms(load, request)
         if now + needed_ms > ticket.deadline_ms:
-            # Run there it would come too late, its prefill wasted.
+            # It would end too late there and its prefill would be wasted.
             return True
         running = (
             fingerprint
@@ -259,18 +260,18 @@
         request = ticket.request
         is_top_tier = request.tier_rank == self._top_rank
         excluded = request.excluded or ()
-        fitting = (
+        candidates = (
             load
             for name, load in self.loads.items()
             if name not in excluded
-            and load.may_take(
+            and load.can_accept(
                 request.prompt_tokens,
                 is_top_tier=is_top_tier,
                 now=now,
             )
         )
         return min(
-            fitting,
+            candidates,
             key=lambda load: (
                 _service_ms(load, request),
                 len(load.runs) / load.upstream.max_running,
@@ -284,8 +285,8 @@
             for other, queue in self._tiers.items()
             if other <= rank
         )
-        places = sum(load.upstream.max_running for load in self.loads.values())
-        return ahead_ms / max(places, 1)
+        slots = sum(load.upstream.max_running for load in self.loads.values())
+        return ahead_ms / max(slots, 1)
 
     def _refuse(self, ticket: Ticket, reason: RefusalReason) -> Refused:
         wait_ms = self._wait_ms(ticket.request.tier_rank)
@@ -305,7 +306,7 @@
 ) -> float:
     return min(
         (
-            load.trust(now)
+            load.confidence(now)
             * load.speed.service_ms(
                 request.prompt_tokens,
                 request.output_tokens,
--- a/hornbeamdeck/scheduling/crash_watch.py
+++ b/hornbeamdeck/scheduling/crash_watch.py
@@ -1,87 +1,91 @@
-"""Which requests crash the engines that run them.
+"""Detection of requests that crash the engines that run them.
 
-Load pattern: one request crashes each engine that begins it, and its caller
-sends it again, at any instance. A connection that breaks is no crash yet: links
-reset, answers get lost. Only an engine that can't be reached right after, or
-that starts anew, has crashed, and then every run that broke with it may be the
-cause. Whoever is answered later was innocent.
+Load pattern: one request crashes each engine that starts it, and its caller
+retries it on any instance. A broken connection alone is no crash: links reset
+and responses get lost. An engine has crashed only if it can't be reached right
+after or if it restarts. Then every run that failed with it may be the cause. A
+request that is answered later did not cause the crash.
 """
 
 from collections import deque
 from typing import Final, NamedTuple
 
-__all__ = ('CULPRIT_CRASHES', 'CrashWatch')
+__all__ = ('POISON_CRASHES', 'CrashWatch')
 
-# A request that was on so many engines when they crashed is run no more.
-CULPRIT_CRASHES: Final = 3
-# Runs break and connections are refused within this time of one crash.
+# A request that was running on this many engines when they crashed is refused.
+POISON_CRASHES: Final = 3
+# One crash fails runs and refuses connections within this time.
 SAME_CRASH_MS: Final = 2500
 MEMORY_MS: Final = 600_000
 MAX_REMEMBERED: Final = 2000
 
 
-class _Broken(NamedTuple):
+class _FailedRun(NamedTuple):
     at_ms: float
     fingerprint: str
 
 
-class _Blame(NamedTuple):
+class _CrashCount(NamedTuple):
     crashes: int
     until_ms: float
 
 
 class CrashWatch:
-    """Counts crashes by the fingerprint of the requests under them."""
+    """Counts crashes by the fingerprint of the requests that were running."""
 
     def __init__(self) -> None:
-        """Blame nobody."""
-        self._broken: dict[str, deque[_Broken]] = {}
-        self._blames: dict[str, _Blame] = {}
+        """Start without suspected requests."""
+        self._failed_runs: dict[str, deque[_FailedRun]] = {}
+        self._crash_counts: dict[str, _CrashCount] = {}
 
     def crashes(self, fingerprint: str, now: float) -> int:
-        """Tell under how many crashes a request was running."""
-        blame = self._blames.get(fingerprint)
-        if blame is None or blame.until_ms < now:
+        """Return the number of crashes during which a request was running."""
+        count = self._crash_counts.get(fingerprint)
+        if count is None or count.until_ms < now:
             return 0
-        return blame.crashes
+        return count.crashes
 
     def is_culprit(self, fingerprint: str, now: float) -> bool:
-        """Whether a request is to be refused."""
-        return self.crashes(fingerprint, now) >= CULPRIT_CRASHES
+        """Return whether a request is to be refused."""
+        return self.crashes(fingerprint, now) >= POISON_CRASHES
 
     def note(self, fingerprint: str, crashes: int, now: float) -> None:
-        """Take over what another owner held against a request."""
-        known = max(crashes, self.crashes(fingerprint, now))
-        self._blames[fingerprint] = _Blame(known, now + MEMORY_MS)
-        if len(self._blames) > MAX_REMEMBERED:
-            self._blames.pop(next(iter(self._blames)))
-
-    def note_answered(self, fingerprint: str) -> None:
-        """Clear a request that an engine has survived."""
-        self._blames.pop(fingerprint, None)
-
-    def note_broken(self, engine: str, fingerprint: str, now: float) -> None:
-        """Remember that a run broke, in case its engine has crashed."""
-        broken = self._broken.setdefault(engine, deque())
-        broken.append(_Broken(now, fingerprint))
-        while broken[0].at_ms < now - SAME_CRASH_MS:
-            broken.popleft()
-
-    def note_gone(self, engine: str, now: float) -> str:
-        """Take in that an engine can't be reached or has started anew.
-
-        :returns: the fingerprint that most is held against now, if any.
+        """Apply the number of crashes that another owner has counted."""
+        crash_count = max(crashes, self.crashes(fingerprint, now))
+        self._crash_counts[fingerprint] = _CrashCount(
+            crash_count, now + MEMORY_MS
+        )
+        if len(self._crash_counts) > MAX_REMEMBERED:
+            self._crash_counts.pop(next(iter(self._crash_counts)))
+
+    def record_answer(self, fingerprint: str) -> None:
+        """Clear a request that an engine has answered without crashing."""
+        self._crash_counts.pop(fingerprint, None)
+
+    def record_failed_run(
+        self, engine: str, fingerprint: str, now: float
+    ) -> None:
+        """Record that a run failed, in case its engine has crashed."""
+        failed = self._failed_runs.setdefault(engine, deque())
+        failed.append(_FailedRun(now, fingerprint))
+        while failed[0].at_ms < now - SAME_CRASH_MS:
+            failed.popleft()
+
+    def record_crash(self, engine: str, now: float) -> str:
+        """Record that an engine can't be reached or has restarted.
+
+        :returns: the fingerprint of the suspect with the most crashes, if any.
         """
-        broken = self._broken.pop(engine, ())
-        blamed = {
+        failed = self._failed_runs.pop(engine, ())
+        suspects = {
             each.fingerprint
-            for each in broken
+            for each in failed
             if each.at_ms >= now - SAME_CRASH_MS
         }
-        for each in blamed:
+        for each in suspects:
             self.note(each, self.crashes(each, now) + 1, now)
         return max(
-            blamed,
-            key=lambda held: self.crashes(held, now),
+            suspects,
+            key=lambda fingerprint: self.crashes(fingerprint, now),
             default='',
         )
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -1,6 +1,7 @@
-"""The waiting requests of one service, and who runs next on which engine.
+"""Wait queue of one service and placement of its requests on engines.
 
-Decisions alone: time is given, nothing is sent or read here.
+Callers pass in the time. This module makes decisions only and does no input or
+output.
 """
 
 import math
@@ -9,24 +10,24 @@
 
 from hornbeamdeck.process.engine_directory import Engine
 from hornbeamdeck.scheduling.cell import Granted, Refused
-from hornbeamdeck.scheduling.cell_door import CellDoor, Shared
+from hornbeamdeck.scheduling.cell_door import AdmissionControl, Shared
 from hornbeamdeck.scheduling.crash_watch import CrashWatch
 from hornbeamdeck.scheduling.engine_choice import choose_engine
 from hornbeamdeck.scheduling.engine_load import (
     EngineLoad,
-    Learned,
-    forecast_places,
-    unit_ms,
+    ServiceEstimates,
+    base_first_token_ms,
+    forecast_slots,
 )
 from hornbeamdeck.scheduling.forecast import Forecast
 from hornbeamdeck.scheduling.placement_scan import (
     PlacementScan,
     PlacementTracker,
 )
-from hornbeamdeck.scheduling.request_rank import stake_of
+from hornbeamdeck.scheduling.request_rank import value_of
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.ticket import Deliver, Ticket
-from hornbeamdeck.scheduling.waiting_room import WaitingRoom
+from hornbeamdeck.scheduling.waiting_room import WaitQueue
 from hornbeamdeck.version.routed import EngineTraits
 from hornbeamdeck.wire import (
     Enqueue,
@@ -41,29 +42,30 @@
 
 __all__ = ('EngineCell',)
 
-# Why a request waits though engines have places, as the log tells it.
+# Logged reason for holding a request back while engines have free slots.
 HELD_BY_LIMIT: Final = "the team's limit"
-# Between two looks for what waits too long or in vain: a little less than the
-# scheduler's sweep (25 ms), so that each sweep looks.
-LOOK_MS: Final = 20.0
+# Minimum time between two checks for expired requests. It is a little shorter
+# than the scheduler's check interval (25 ms), so that each of the scheduler's
+# checks runs this one.
+EXPIRY_CHECK_INTERVAL_MS: Final = 20.0
 
 
 class EngineCell:
-    """Holds what waits for one service and places it on its engines."""
+    """Queues the requests of one service and places them on its engines."""
 
     def __init__(self, shared: Shared, budget: RetryBudget) -> None:
-        """Start without engines; `adopt` brings them."""
+        """Start without engines; `adopt` adds them."""
         self.loads: dict[str, EngineLoad] = {}
         self.suspicions = CrashWatch()
-        self._waiting = WaitingRoom()
-        self._learned = Learned.initial()
-        self._held_for: dict[str, str] = {}
-        self._looked_ms = -math.inf
+        self._waiting = WaitQueue()
+        self._estimates = ServiceEstimates.initial()
+        self._hold_reasons: dict[str, str] = {}
+        self._last_expiry_check_ms = -math.inf
         self._placements = PlacementTracker()
-        self._door = CellDoor(shared, budget, self._waiting)
+        self._admission = AdmissionControl(shared, budget, self._waiting)
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def adopt(
@@ -72,12 +74,13 @@
         traits: EngineTraits,
         slowness: dict[str, float],
     ) -> None:
-        """Take over a list of engines.
+        """Apply a new list of engines.
 
-        An engine that started again under its name holds nothing of before,
-        so its runs are forgotten here too.
+        An engine that restarted under the same name has lost the runs of its
+        previous incarnation, so they are removed here too.
 
-        :param slowness: learned elsewhere, for engines that are new here.
+        :param slowness: speed factors learned by other owners, used for engines
+            that are new here.
         """
         self._placements.request_full_scan()
         named = {engine.name: engine for engine in engines}
@@ -86,7 +89,7 @@
         for name, engine in named.items():
             load = self.loads.get(name)
             if load is None or load.engine.born_ms != engine.born_ms:
-                load = EngineLoad(engine, traits, self._learned)
+                load = EngineLoad(engine, traits, self._estimates)
                 load.slowness = slowness.get(name, 1.0)
                 self.loads[name] = load
             load.update(engine, traits)
@@ -99,7 +102,7 @@
         deliver: Deliver,
         now: float,
     ) -> Refused | None:
-        """Queue a request, or refuse it where it can't be answered in time."""
+        """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
         ticket = Ticket(
             request=request,
@@ -113,33 +116,36 @@
         if reason is not None:
             return self._refuse(ticket, reason, now)
         self._waiting.push(ticket, now, fastest_ms)
-        self._placements.note_arrival(request)
+        self._placements.record_arrival(request)
         return None
 
     def displace(self) -> Iterator[Refused]:
-        """Give nothing up: what waits was admitted by its expected wait."""
+        """Return no refusals: requests were admitted by their expected wait."""
         return iter(())
 
     def expire(self, now: float) -> Iterator[Refused]:
-        """Give up on what has no use any more.
+        """Refuse waiting requests that can't be served in time any more.
 
         Called with each message, but rate-limited: checking all waiting and
-        running requests each time would take most of a core at some dozens of
+        running requests each time would take most of a core with a few dozen
         engines.
         """
-        if not len(self._waiting) or now - self._looked_ms < LOOK_MS:
+        if (
+            not len(self._waiting)
+            or now - self._last_expiry_check_ms < EXPIRY_CHECK_INTERVAL_MS
+        ):
             return
-        self._looked_ms = now
+        self._last_expiry_check_ms = now
         for ticket in self._waiting.expired(now, self._forecast(now)):
-            self._door.stop_waiting(ticket.request)
+            self._admission.remove_waiting(ticket.request)
             yield self._refuse(ticket, RefusalReason.DEADLINE, now)
 
     def grants(self, now: float) -> Iterator[Granted]:
-        """Place waiting requests until no engine has a place for any.
+        """Place waiting requests until no engine has a free slot for any.
 
         Called with each message, so the scan is incremental: requests that
-        were tried before are tried again only on engines that have changed
-        since, and periodically on all engines.
+        could not be placed before are tried again only on engines that have
+        changed since, and periodically on all engines.
         """
         scan = self._placements.start_scan(
             self.loads.values(),
@@ -158,11 +164,11 @@
                 yield granted
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a waiting request whose caller has left."""
+        """Remove a waiting request whose caller has disconnected."""
         ticket = self._waiting.remove(request_id)
-        self._held_for.pop(request_id, None)
+        self._hold_reasons.pop(request_id, None)
         if ticket is not None:
-            self._door.stop_waiting(ticket.request)
+            self._admission.remove_waiting(ticket.request)
 
     def register(self, run: Register, sender: str) -> None:
         """Account for a run that another owner granted."""
@@ -172,32 +178,34 @@
             load.add(run, sender)
 
     def progress(self, message: Progress, now: float) -> None:
-        """Note a first token."""
-        load = _running_at(self.loads.values(), message.request_id)
+        """Record a run's first token."""
+        load = _find_running(self.loads.values(), message.request_id)
         if load is not None:
             load.first_token(message.request_id, message.first_token_ms, now)
-            self._placements.note_engine_changed(load.engine.name)
+            self._placements.record_engine_change(load.engine.name)
 
     def release(self, message: Release, now: float) -> Suspect | None:
-        """Note the end of a run.
+        """Record the end of a run.
 
-        :returns: whom a break of the engine is now held against, if any.
+        :returns: the request that is suspected of crashing the engine, if any.
         """
-        load = _running_at(self.loads.values(), message.request_id)
+        load = _find_running(self.loads.values(), message.request_id)
         if load is None:
             return None
         end = RunEnd(message.end)
         run = load.end(message.request_id, end, now)
         if run is None:
             return None
-        self._placements.note_engine_changed(load.engine.name)
+        self._placements.record_engine_change(load.engine.name)
         if end == RunEnd.ANSWERED:
             load.learn_pause(run, message.longest_gap_ms or 0)
-        return _judge(self.suspicions, load.engine, run.fingerprint, end, now)
+        return _update_crash_watch(
+            self.suspicions, load.engine, run.fingerprint, end, now
+        )
 
     def drop_sender(self, sender: str) -> None:
-        """Forget all that came by a connection that has gone."""
-        for request_id in self._waiting.sent_by(sender):
+        """Remove all requests and runs of a closed connection."""
+        for request_id in self._waiting.ids_from_sender(sender):
             self.withdraw(request_id)
         for load in self.loads.values():
             load.drop_sender(sender)
@@ -214,10 +222,12 @@
         if self.suspicions.is_culprit(request.fingerprint, now):
             return RefusalReason.CULPRIT
         forecast = self._forecast(now)
-        return self._door.reason_to_refuse(request, forecast, fastest_ms, now)
+        return self._admission.reason_to_refuse(
+            request, forecast, fastest_ms, now
+        )
 
     def _forecast(self, now: float) -> Forecast:
-        return forecast_places(
+        return forecast_slots(
             [
                 load
                 for load in self.loads.values()
@@ -237,17 +247,17 @@
     ) -> Granted | None:
         """Place a request that is due in this scan, within its team's limit."""
         request = ticket.request
-        held_for = self._held_for.get(request.request_id)
-        places = scan.candidates_for(
+        hold_reason = self._hold_reasons.get(request.request_id)
+        candidates = scan.candidates_for(
             request,
-            is_held_by_limit=held_for == HELD_BY_LIMIT,
+            is_held_by_limit=hold_reason == HELD_BY_LIMIT,
         )
-        if places is None:
+        if candidates is None:
             return None
-        if not self._door.may_start(request, blocked, now):
-            self._held_for[request.request_id] = HELD_BY_LIMIT
+        if not self._admission.may_start(request, blocked, now):
+            self._hold_reasons[request.request_id] = HELD_BY_LIMIT
             return None
-        return self._place(ticket, places, now) if places else None
+        return self._place(ticket, candidates, now) if candidates else None
 
     def _place(
         self,
@@ -255,22 +265,22 @@
         free: list[EngineLoad],
         now: float,
     ) -> Granted | None:
-        """Start a request on one of the engines with a place, or hold it."""
+        """Start a request on an engine with a free slot, or hold it."""
         request_id = ticket.request.request_id
-        chances = self._waiting.chances(request_id, now)
-        choice = choose_engine(free, ticket, now, chances)
+        time_budget = self._waiting.time_budget(request_id, now)
+        choice = choose_engine(free, ticket, now, time_budget)
         load = choice.load
         if load is None:
-            self._held_for[request_id] = choice.held_for
+            self._hold_reasons[request_id] = choice.hold_reason
             return None
         self._waiting.start(request_id, now)
-        self._door.start(ticket.request, now)
+        self._admission.start(ticket.request, now)
         _add_run(load, ticket, now)
         return Granted(
             ticket,
             load.engine.name,
             str(load.engine.address),
-            self._held_for.pop(request_id, ''),
+            self._hold_reasons.pop(request_id, ''),
         )
 
     def _refuse(
@@ -280,28 +290,28 @@
         now: float,
     ) -> Refused:
         request = ticket.request
-        wait_ms = self._door.wait_ms(request, reason, now)
-        held_for = self._held_for.pop(request.request_id, '')
+        retry_after_ms = self._admission.retry_after_ms(request, reason, now)
+        hold_reason = self._hold_reasons.pop(request.request_id, '')
         refusal = Refuse(
             request_id=request.request_id,
             reason=reason,
-            retry_after_ms=wait_ms,
+            retry_after_ms=retry_after_ms,
         )
         facts = self._facts(request, now)
-        if held_for:
-            facts['held_for'] = held_for
+        if hold_reason:
+            facts['held_for'] = hold_reason
         return Refused(ticket, refusal, facts)
 
     def _facts(self, request: Enqueue, now: float) -> dict[str, object]:
-        """Tell what a refusal was decided on."""
+        """Return what a refusal was based on, as log fields."""
         return {
             'waiting': len(self._waiting),
             'engines': len(self.loads),
-            'places': sum(load.has_place() for load in self.loads.values()),
+            'places': sum(load.has_free_slot() for load in self.loads.values()),
             'fastest_ms': int(_fastest_ms(self.loads.values(), request, now)),
             'rank': request.tier_rank,
             'objective_ms': request.objective_ms,
-            'quota': self._door.describe_quota(request.team),
+            'quota': self._admission.describe_quota(request.team),
         }
 
 
@@ -322,7 +332,7 @@
         ticket.sender,
         zone,
         request.gap_ms or 0,
-        stake=stake_of(request),
+        stream_value=value_of(request),
     )
     load.start(request.request_id, now)
 
@@ -332,7 +342,7 @@
     request: Enqueue,
     now: float,
 ) -> float:
-    work_ms = unit_ms(request.prompt_tokens)
+    work_ms = base_first_token_ms(request.prompt_tokens)
     return min(
         (
             load.first_token_ms(work_ms, now)
@@ -343,7 +353,7 @@
     )
 
 
-def _running_at(
+def _find_running(
     loads: Iterable[EngineLoad],
     request_id: str,
 ) -> EngineLoad | None:
@@ -353,24 +363,24 @@
     return None
 
 
-def _judge(
+def _update_crash_watch(
     suspicions: CrashWatch,
     engine: Engine,
     fingerprint: str,
     end: RunEnd,
     now: float,
 ) -> Suspect | None:
-    blamed = ''
+    suspect = ''
     if end == RunEnd.ANSWERED:
-        suspicions.note_answered(fingerprint)
+        suspicions.record_answer(fingerprint)
     if end == RunEnd.FAILED:
-        suspicions.note_broken(engine.name, fingerprint, now)
+        suspicions.record_failed_run(engine.name, fingerprint, now)
     if end == RunEnd.NOT_DISPATCHED:
-        blamed = suspicions.note_gone(engine.name, now)
-    if not blamed:
+        suspect = suspicions.record_crash(engine.name, now)
+    if not suspect:
         return None
     return Suspect(
         cell=engine.service,
-        fingerprint=blamed,
-        crashes=suspicions.crashes(blamed, now),
+        fingerprint=suspect,
+        crashes=suspicions.crashes(suspect, now),
     )
--- a/hornbeamdeck/scheduling/engine_choice.py
+++ b/hornbeamdeck/scheduling/engine_choice.py
@@ -1,89 +1,94 @@
-"""Which engine with a free place a waiting request goes to.
+"""Choice of an engine with a free slot for a waiting request.
 
-Load pattern: prompts of ten times the usual length among many streams, on
-engines that differ several times in speed. On a slow engine such a prompt is
-late, on a busy one it makes the streams beside it pause. So it may wait for a
-better place, but only as long as it can still be on time there; then the harm
-to the streams is weighed against its own lateness.
+Load pattern: prompts of ten times the usual length arrive among many streams,
+on engines that differ several times in speed. On a slow engine such a prompt is
+late, and on a busy one it interrupts the other streams. So it may wait for a
+better slot, but only while it can still be on time. After that, the streams
+that it would interrupt are weighed against its own lateness.
 """
 
 from heapq import nsmallest
 from typing import Final, NamedTuple
 
-from hornbeamdeck.scheduling.engine_load import EngineLoad, unit_ms
-from hornbeamdeck.scheduling.request_rank import stake_of
+from hornbeamdeck.scheduling.engine_load import EngineLoad, base_first_token_ms
+from hornbeamdeck.scheduling.request_rank import value_of
 from hornbeamdeck.scheduling.ticket import Ticket
 
-__all__ = ('Chances', 'Choice', 'choose_engine')
+__all__ = ('TimeBudget', 'Choice', 'choose_engine')
 
-# A stream's pause is expected from a model; beyond this part of what its
-# route allows it is taken for broken.
+# The gap in a stream is estimated by a model. A stream counts as interrupted if
+# the estimate exceeds this share of the gap that its route allows.
 GAP_SHARE: Final = 0.8
-# What a full engine adds to the expected time of a request, milliseconds: the
-# more runs share its steps, the slower each goes.
-FULL_MS: Final = 60.0
-# Engines that are looked at closely for one request. To do so with each of a
-# hundred takes an owner a millisecond a request.
-LOOKED_AT: Final = 16
-# What certain failure counts, milliseconds.
-FAILING_MS: Final = 4000.0
-# What a step into another zone counts, milliseconds.
-ZONE_MS: Final = 2.0
-# A request that waits for a better place starts so long before it would be
-# late: places are looked at every 25 ms, and expected times are off by some.
-MARGIN_MS: Final = 40.0
-
-
-class Chances(NamedTuple):
+# Cost of an engine with all slots in use, in milliseconds of expected time: the
+# more runs share its steps, the slower each of them is.
+OCCUPANCY_COST_MS: Final = 60.0
+# Number of engines that are evaluated in full for one request. Evaluating a
+# hundred engines takes the owner a millisecond for each request.
+SHORTLIST_SIZE: Final = 16
+# Cost of an engine that fails all requests, in milliseconds of expected time.
+FAILURE_COST_MS: Final = 4000.0
+# Cost of an engine in another availability zone, in milliseconds.
+CROSS_ZONE_COST_MS: Final = 2.0
+# A request that waits for a better slot starts this long before it would be
+# late: slots are checked every 25 ms, and the estimates have errors.
+START_MARGIN_MS: Final = 40.0
+
+
+class TimeBudget(NamedTuple):
     """How much time a waiting request has.
 
-    :param left_ms: until its answer would be late; less than 0: it is.
-    :param slack_ms: until it would be late even at the fastest engine.
+    :param remaining_ms: time until its response is late; less than 0: it is
+        late already.
+    :param slack_ms: time until its response is late even on the fastest engine.
     """
 
-    left_ms: float
+    remaining_ms: float
     slack_ms: float
 
 
 class Choice(NamedTuple):
-    """Where a request goes, or why it waits on though engines have places."""
+    """The engine chosen, or why the request is held although slots are free."""
 
     load: EngineLoad | None
-    held_for: str = ''
+    hold_reason: str = ''
 
 
 def choose_engine(
     free: list[EngineLoad],
     ticket: Ticket,
     now: float,
-    chances: Chances,
+    time_budget: TimeBudget,
 ) -> Choice:
-    """Pick the engine that answers first without breaking others' streams.
+    """Choose the fastest engine on which no other stream is interrupted.
 
     Replayed without overload (long prompts among streams, six engines), the
-    longest tenth of the first priority earns 0.93 of its worth, 0.73 where a
-    prompt keeps off all streams until it is late and takes any idle engine.
+    longest tenth of the first priority earns 0.93 of its value. It earns 0.73
+    if a prompt avoids all streams until it is late and takes any idle engine.
 
-    :param free: engines with a free place.
+    :param free: engines with a free slot.
     """
-    if len(free) > LOOKED_AT:
-        choice = _choose(_likeliest(free, ticket, now), ticket, now, chances)
+    if len(free) > SHORTLIST_SIZE:
+        choice = _choose(
+            _shortlist(free, ticket, now), ticket, now, time_budget
+        )
         if choice.load is not None:
             return choice
-    return _choose(free, ticket, now, chances)
+    return _choose(free, ticket, now, time_budget)
 
 
-def _likeliest(
+def _shortlist(
     free: list[EngineLoad],
     ticket: Ticket,
     now: float,
 ) -> list[EngineLoad]:
-    """List the engines that look best at first sight."""
-    work_ms = unit_ms(ticket.request.prompt_tokens)
+    """Return the engines with the lowest cost by a quick estimate."""
+    work_ms = base_first_token_ms(ticket.request.prompt_tokens)
     return nsmallest(
-        LOOKED_AT,
+        SHORTLIST_SIZE,
         free,
-        key=lambda load: load.first_token_ms(work_ms, now) + _full_ms(load),
+        key=lambda load: (
+            load.first_token_ms(work_ms, now) + _occupancy_cost_ms(load)
+        ),
     )
 
 
@@ -91,21 +96,23 @@
     free: list[EngineLoad],
     ticket: Ticket,
     now: float,
-    chances: Chances,
+    time_budget: TimeBudget,
 ) -> Choice:
-    fitting = [load for load in free if _may_go_to(load, ticket, now)]
-    if not fitting:
+    eligible = [load for load in free if _is_eligible(load, ticket, now)]
+    if not eligible:
         return Choice(None, 'tried before or resting')
-    if chances.left_ms < 0:
-        return Choice(_cheapest(fitting, ticket, now))
+    if time_budget.remaining_ms < 0:
+        return Choice(_lowest_cost(eligible, ticket, now))
     on_time = [
         load
-        for load in fitting
-        if _first_ms(load, ticket, now) <= chances.left_ms
+        for load in eligible
+        if _first_token_ms(load, ticket, now) <= time_budget.remaining_ms
     ]
-    best = _cheapest(_unharmed(on_time, ticket, now), ticket, now)
-    if best is None and chances.slack_ms <= MARGIN_MS:
-        best = _at_the_last_chance(fitting, on_time, ticket, now)
+    best = _lowest_cost(
+        _without_interruption(on_time, ticket, now), ticket, now
+    )
+    if best is None and time_budget.slack_ms <= START_MARGIN_MS:
+        best = _choose_without_slack(eligible, on_time, ticket, now)
     if best is not None:
         return Choice(best)
     if on_time:
@@ -113,52 +120,64 @@
     return Choice(None, 'it would be late there')
 
 
-def _at_the_last_chance(
-    fitting: list[EngineLoad],
+def _choose_without_slack(
+    eligible: list[EngineLoad],
     on_time: list[EngineLoad],
     ticket: Ticket,
     now: float,
 ) -> EngineLoad | None:
-    """Break streams that are worth less, or else be late and break none."""
-    stake = stake_of(ticket.request)
-    worth_it = [load for load in on_time if _harm(load, ticket, now) <= stake]
-    best = _cheapest(worth_it, ticket, now)
+    """Choose an engine for a request that can't wait any longer.
+
+    Interrupt streams only if their value is at most that of the request.
+    Otherwise accept that the request is late and interrupt none.
+    """
+    request_value = value_of(ticket.request)
+    acceptable = [
+        load
+        for load in on_time
+        if _interrupted_value(load, ticket, now) <= request_value
+    ]
+    best = _lowest_cost(acceptable, ticket, now)
     if best is not None:
         return best
-    return _cheapest(_unharmed(fitting, ticket, now), ticket, now)
+    return _lowest_cost(
+        _without_interruption(eligible, ticket, now), ticket, now
+    )
 
 
-def _may_go_to(load: EngineLoad, ticket: Ticket, now: float) -> bool:
+def _is_eligible(load: EngineLoad, ticket: Ticket, now: float) -> bool:
     request = ticket.request
     if load.engine.name in (request.excluded or ()):
         return False
-    return not load.health.is_resting(request.zone or '', now)
+    return not load.health.is_in_backoff(request.zone or '', now)
 
 
-def _first_ms(load: EngineLoad, ticket: Ticket, now: float) -> float:
-    return load.first_token_ms(unit_ms(ticket.request.prompt_tokens), now)
+def _first_token_ms(load: EngineLoad, ticket: Ticket, now: float) -> float:
+    return load.first_token_ms(
+        base_first_token_ms(ticket.request.prompt_tokens), now
+    )
 
 
-def _full_ms(load: EngineLoad) -> float:
-    return FULL_MS * load.slowness * len(load.runs) / load.slots
+def _occupancy_cost_ms(load: EngineLoad) -> float:
+    return OCCUPANCY_COST_MS * load.slowness * len(load.runs) / load.slots
 
 
-def _harm(load: EngineLoad, ticket: Ticket, now: float) -> float:
-    """Tell what the streams at an engine are worth that a request breaks."""
-    pause_ms = load.pause_ms(ticket.request.prompt_tokens, now)
-    return load.broken_stake(pause_ms / GAP_SHARE)
+def _interrupted_value(load: EngineLoad, ticket: Ticket, now: float) -> float:
+    """Return the value of the streams that a request would interrupt."""
+    gap_ms = load.gap_ms(ticket.request.prompt_tokens, now)
+    return load.interrupted_value(gap_ms / GAP_SHARE)
 
 
-def _unharmed(
+def _without_interruption(
     loads: list[EngineLoad],
     ticket: Ticket,
     now: float,
 ) -> list[EngineLoad]:
-    """List the engines where a request would break no stream."""
-    return [load for load in loads if not _harm(load, ticket, now)]
+    """Return the engines on which a request would interrupt no stream."""
+    return [load for load in loads if not _interrupted_value(load, ticket, now)]
 
 
-def _cheapest(
+def _lowest_cost(
     loads: list[EngineLoad],
     ticket: Ticket,
     now: float,
@@ -172,9 +191,9 @@
 
 def _cost_ms(load: EngineLoad, ticket: Ticket, now: float) -> float:
     zone = ticket.request.zone or ''
-    cost_ms = _first_ms(load, ticket, now)
-    cost_ms += _full_ms(load)
-    cost_ms += FAILING_MS * load.health.failing(zone, now)
+    cost_ms = _first_token_ms(load, ticket, now)
+    cost_ms += _occupancy_cost_ms(load)
+    cost_ms += FAILURE_COST_MS * load.health.failure_rate(zone, now)
     if load.engine.availability_zone != zone:
-        cost_ms += ZONE_MS
+        cost_ms += CROSS_ZONE_COST_MS
     return cost_ms
--- a/hornbeamdeck/scheduling/engine_health.py
+++ b/hornbeamdeck/scheduling/engine_health.py
@@ -1,8 +1,9 @@
-"""Whether an engine can be trusted with a request, judged by outcomes.
+"""Health of an engine, judged by the outcomes of its runs.
 
-Load pattern: an engine fails part of its requests while its health check is
-good, or is cut off from one availability zone only. Each zone's outcomes count
-for that zone; an engine is eased off and tried again with real work.
+Load pattern: an engine fails part of its requests while its health check
+passes, or is unreachable from one availability zone only. The outcomes of each
+zone count for that zone only. An engine that fails gets fewer requests, and
+real requests probe whether it has recovered.
 """
 
 from typing import Final
@@ -11,21 +12,22 @@
 
 __all__ = ('EngineHealth',)
 
-# An engine that could not be reached rests this long, then twice as long.
-FIRST_REST_MS: Final = 300.0
-MAX_REST_MS: Final = 4000.0
-# One that turned a request away is full by other work for a moment.
-FULL_REST_MS: Final = 40.0
-# An engine at the address of another is gone; the list will say so soon.
-GONE_REST_MS: Final = 3000.0
-
-# Share of failures: a failure weighs as an eighth, and half is forgotten in
-# this time, so that an engine that has recovered is tried again.
+# Backoff after an engine could not be reached; doubled after each failure.
+INITIAL_BACKOFF_MS: Final = 300.0
+MAX_BACKOFF_MS: Final = 4000.0
+# An engine that rejected a request is briefly full with other work.
+REJECTED_BACKOFF_MS: Final = 40.0
+# If another engine responds at its address, the engine no longer exists. The
+# list of engines will show this soon.
+REPLACED_BACKOFF_MS: Final = 3000.0
+
+# Weight of one outcome in the failure rate, and the half-life of the rate, so
+# that an engine that has recovered gets requests again.
 FAILURE_WEIGHT: Final = 0.125
-FORGET_MS: Final = 3000.0
+FAILURE_HALF_LIFE_MS: Final = 3000.0
 HALF: Final = 0.5
 
-_FAULTS: Final = frozenset(
+_FAILURES: Final = frozenset(
     (RunEnd.FAILED, RunEnd.REJECTED, RunEnd.ERRORED, RunEnd.NOT_DISPATCHED),
 )
 
@@ -34,56 +36,60 @@
     """Failures of one engine as seen from one availability zone."""
 
     def __init__(self) -> None:
-        self.failing = 0.0
+        self.rate = 0.0
         self.updated_ms = 0.0
-        self.rest_until_ms = 0.0
-        self.rest_ms = 0.0
+        self.backoff_until_ms = 0.0
+        self.backoff_ms = 0.0
 
-    def share(self, now: float) -> float:
-        """Tell the recent share of failures, forgotten with time."""
+    def failure_rate(self, now: float) -> float:
+        """Return the recent failure rate, which decays with time."""
         age_ms = max(now - self.updated_ms, 0)
-        return float(self.failing * HALF ** (age_ms / FORGET_MS))
+        return float(self.rate * HALF ** (age_ms / FAILURE_HALF_LIFE_MS))
 
-    def note(self, outcome: float, now: float) -> None:
-        kept = self.share(now)
-        self.failing = kept + FAILURE_WEIGHT * (outcome - kept)
+    def record(self, outcome: float, now: float) -> None:
+        decayed = self.failure_rate(now)
+        self.rate = decayed + FAILURE_WEIGHT * (outcome - decayed)
         self.updated_ms = now
 
-    def rest(self, first_ms: float, now: float) -> None:
-        if now < self.rest_until_ms:
+    def start_backoff(self, first_ms: float, now: float) -> None:
+        if now < self.backoff_until_ms:
             return
-        self.rest_ms = min(max(self.rest_ms * 2, first_ms), MAX_REST_MS)
-        self.rest_until_ms = now + self.rest_ms
+        self.backoff_ms = min(
+            max(self.backoff_ms * 2, first_ms), MAX_BACKOFF_MS
+        )
+        self.backoff_until_ms = now + self.backoff_ms
 
 
 class EngineHealth:
-    """Failures of one engine, by the zone that saw them."""
+    """Failures of one engine, by availability zone of the ingress."""
 
     def __init__(self) -> None:
-        """Start sound."""
+        """Start healthy."""
         self._zones: dict[str, _ZoneHealth] = {}
 
-    def is_resting(self, zone: str, now: float) -> bool:
-        """Whether requests from a zone are to pass the engine over for now."""
+    def is_in_backoff(self, zone: str, now: float) -> bool:
+        """Return whether requests from a zone must not use the engine now."""
         health = self._zones.get(zone)
-        return health is not None and now < health.rest_until_ms
+        return health is not None and now < health.backoff_until_ms
 
-    def failing(self, zone: str, now: float) -> float:
-        """Tell the share of requests from a zone that failed lately."""
+    def failure_rate(self, zone: str, now: float) -> float:
+        """Return the recent failure rate of requests from a zone."""
         health = self._zones.get(zone)
-        return health.share(now) if health else 0.0
+        return health.failure_rate(now) if health else 0.0
 
-    def note_end(self, zone: str, end: RunEnd, now: float) -> None:
-        """Judge by how a run ended."""
+    def record_run_end(self, zone: str, end: RunEnd, now: float) -> None:
+        """Update the zone's failure rate and backoff by how a run ended."""
         health = self._zones.setdefault(zone, _ZoneHealth())
         if end == RunEnd.ANSWERED:
-            health.rest_ms = 0.0
-            health.note(0, now)
-        if end in _FAULTS:
-            health.note(1, now)
+            health.backoff_ms = 0.0
+            health.record(0, now)
+        if end in _FAILURES:
+            health.record(1, now)
         if end == RunEnd.NOT_DISPATCHED:
-            health.rest(FIRST_REST_MS, now)
+            health.start_backoff(INITIAL_BACKOFF_MS, now)
         if end == RunEnd.REJECTED:
-            health.rest_until_ms = max(health.rest_until_ms, now + FULL_REST_MS)
+            health.backoff_until_ms = max(
+                health.backoff_until_ms, now + REJECTED_BACKOFF_MS
+            )
         if end == RunEnd.MISDIRECTED:
-            health.rest(GONE_REST_MS, now)
+            health.start_backoff(REPLACED_BACKOFF_MS, now)
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -1,9 +1,9 @@
-"""What a cell's owner knows of one engine: runs, speed, health.
+"""State of one engine as seen by the owner of its cell.
 
-Load pattern: engines of one service differ several times in speed and say
-nothing of it; long prompts are prefilled in chunks between the tokens of all
-streams beside them. So a place is worth something only together with the time
-that the prompt would take there and the pause that it would cause.
+Load pattern: the engines of a service differ several times in speed and don't
+report it. Long prompts are prefilled in chunks between the tokens of all other
+streams. So a free slot can be judged only together with the time that the
+prompt would take there and the gap that it would cause in the other streams.
 """
 
 from collections.abc import Sequence
@@ -11,107 +11,115 @@
 
 from hornbeamdeck.process.engine_directory import Engine
 from hornbeamdeck.scheduling.engine_health import EngineHealth
-from hornbeamdeck.scheduling.engine_run import EngineRun, note_read
+from hornbeamdeck.scheduling.engine_run import EngineRun, record_prefill_overlap
 from hornbeamdeck.scheduling.forecast import Forecast
 from hornbeamdeck.scheduling.output_estimate import OutputEstimate
-from hornbeamdeck.scheduling.pause_estimate import PauseEstimate, prefill_ms
+from hornbeamdeck.scheduling.pause_estimate import GapEstimate, prefill_ms
 from hornbeamdeck.version.routed import EngineTraits
 from hornbeamdeck.wire import Register, RunEnd
 
-__all__ = ('EngineLoad', 'Learned', 'forecast_places', 'unit_ms')
+__all__ = (
+    'EngineLoad',
+    'ServiceEstimates',
+    'base_first_token_ms',
+    'forecast_slots',
+)
 
-# From a request's first byte to its first token, besides reading its prompt.
-FIRST_TOKEN_MS: Final = 12.0
+# Time from a request's first byte to its first token, without prefilling its
+# prompt.
+FIRST_TOKEN_OVERHEAD_MS: Final = 12.0
 
-# A sample counts by the time that the model expects for it: the longer that
-# is, the less of what was observed is the way there and back.
-LEARN_MS: Final = 150.0
+# A sample's weight grows with the time that the model expects for it: the
+# longer that is, the smaller the network's share of the observed time.
+SAMPLE_WEIGHT_MS: Final = 150.0
 MIN_SLOWNESS: Final = 0.2
 MAX_SLOWNESS: Final = 30.0
 
 
-def unit_ms(prompt_tokens: int) -> float:
-    """Tell the time to a first token on an idle engine of slowness 1."""
-    return FIRST_TOKEN_MS + prefill_ms(prompt_tokens)
+def base_first_token_ms(prompt_tokens: int) -> float:
+    """Return the time to first token on an idle engine of slowness 1."""
+    return FIRST_TOKEN_OVERHEAD_MS + prefill_ms(prompt_tokens)
 
 
-class Learned(NamedTuple):
-    """What the engines of one service have in common, at slowness 1."""
+class ServiceEstimates(NamedTuple):
+    """Estimates that all engines of a service share, at slowness 1."""
 
-    pauses: PauseEstimate
+    gaps: GapEstimate
     output: OutputEstimate
 
     @classmethod
     def initial(cls) -> Self:
-        """Make the estimates of the model, before any observation."""
-        return cls(PauseEstimate(), OutputEstimate())
+        """Create the estimates of the model, before any observation."""
+        return cls(GapEstimate(), OutputEstimate())
 
 
 class EngineLoad:
-    """One engine's runs and what was learned of it."""
+    """Runs, estimated speed and health of one engine."""
 
     def __init__(
         self,
         engine: Engine,
         traits: EngineTraits,
-        learned: Learned,
+        estimates: ServiceEstimates,
     ) -> None:
         """Start idle, at the modelled speed.
 
-        :param learned: what is known of all engines of the service.
+        :param estimates: shared by all engines of the service.
         """
         self.update(engine, traits)
-        self.learned = learned
+        self.estimates = estimates
         self.slowness = 1.0
         self.runs: dict[str, EngineRun] = {}
         self.health = EngineHealth()
-        self._prefilled_ms = 0.0
+        self._prefill_done_ms = 0.0
 
     def update(self, engine: Engine, traits: EngineTraits) -> None:
         """Apply the engine's current entry in the list of engines."""
         self.engine = engine
         self.traits = traits
-        # Number of requests that it processes concurrently.
+        # Number of requests that the engine processes concurrently.
         self.slots = engine.slots or traits.slots or 1
 
-    def has_place(self) -> bool:
-        """Whether a request would start at once."""
+    def has_free_slot(self) -> bool:
+        """Return whether a request would start at once."""
         return len(self.runs) < self.slots and not self.engine.is_leaving
 
-    def free_places(self) -> int:
-        """Count the requests that would start at once."""
+    def free_slots(self) -> int:
+        """Return the number of requests that would start at once."""
         return max(self.slots - len(self.runs), 0)
 
     def first_token_ms(self, work_ms: float, now: float) -> float:
-        """Expect the time to the first token of a request sent now.
+        """Estimate the time to first token of a request sent now.
 
-        :param work_ms: what it takes at slowness 1, see `unit_ms`.
+        :param work_ms: time that it takes at slowness 1, see
+            `base_first_token_ms`.
         """
         return self.backlog_ms(now) + work_ms * self.slowness
 
     def backlog_ms(self, now: float) -> float:
-        """Tell how long the prompts take that are being read."""
-        return max(self._prefilled_ms - now, 0.0)
+        """Estimate the time until all current prompts are prefilled."""
+        return max(self._prefill_done_ms - now, 0.0)
 
-    def pause_ms(self, prompt_tokens: int, now: float) -> float:
-        """Expect the pause that reading a prompt puts into streams here.
+    def gap_ms(self, prompt_tokens: int, now: float) -> float:
+        """Estimate the gap that a new prompt's prefill causes in streams here.
 
-        An event holds several tokens, and each step between them carries a
-        chunk of the prompt as long as there is some left.
+        An event holds several tokens, and each engine step between them
+        prefills one chunk of the prompt until it is complete.
         """
-        reading_ms = self.backlog_ms(now) / self.slowness
-        reading_ms += prefill_ms(prompt_tokens)
+        prefill_work_ms = self.backlog_ms(now) / self.slowness
+        prefill_work_ms += prefill_ms(prompt_tokens)
         per_event = self.traits.tokens_per_event
         return (
-            self.learned.pauses.pause_ms(reading_ms, per_event) * self.slowness
+            self.estimates.gaps.gap_ms(prefill_work_ms, per_event)
+            * self.slowness
         )
 
-    def broken_stake(self, pause_ms: float) -> float:
-        """Tell what the streams here are worth that a pause would break."""
+    def interrupted_value(self, gap_ms: float) -> float:
+        """Return the total value of the streams that a gap would interrupt."""
         return sum(
-            run.stake
+            run.stream_value
             for run in self.runs.values()
-            if run.is_streaming and pause_ms > run.gap_ms
+            if run.is_streaming and gap_ms > run.max_gap_ms
         )
 
     def add(
@@ -119,9 +127,9 @@
         run: Register,
         sender: str,
         zone: str = '',
-        gap_ms: int = 0,
+        max_gap_ms: int = 0,
         *,
-        stake: float = 0.0,
+        stream_value: float = 0.0,
     ) -> None:
         """Account for a run that was granted or registered again."""
         self.runs.pop(run.request_id, None)
@@ -130,123 +138,135 @@
             zone=zone,
             fingerprint=run.fingerprint,
             prompt_tokens=run.prompt_tokens,
-            unit_ms=0,
-            gap_ms=gap_ms,
+            expected_first_token_ms=0,
+            max_gap_ms=max_gap_ms,
             is_prefilling=run.is_prefilling,
-            stake=stake,
+            stream_value=stream_value,
             output_tokens=run.output_tokens,
         )
 
     def start(self, request_id: str, now: float) -> None:
-        """Expect a run's first token, since it was granted now."""
+        """Estimate a run's first token and end, counted from its grant now."""
         run = self.runs[request_id]
-        expected_ms = self.first_token_ms(unit_ms(run.prompt_tokens), now)
+        expected_ms = self.first_token_ms(
+            base_first_token_ms(run.prompt_tokens), now
+        )
         self.runs[request_id] = run._replace(
-            unit_ms=expected_ms / self.slowness,
+            expected_first_token_ms=expected_ms / self.slowness,
             started_ms=now,
-            end_ms=now + expected_ms + self._making_ms(run),
+            expected_end_ms=now + expected_ms + self._output_ms(run),
+        )
+        prefill_work_ms = prefill_ms(run.prompt_tokens) * self.slowness
+        self._prefill_done_ms = (
+            max(self._prefill_done_ms, now) + prefill_work_ms
         )
-        reading_ms = prefill_ms(run.prompt_tokens) * self.slowness
-        self._prefilled_ms = max(self._prefilled_ms, now) + reading_ms
 
     def first_token(self, request_id: str, took_ms: float, now: float) -> None:
-        """Learn from a first token; the run's prompt has been read."""
+        """Update the estimates from a first token, which ends the prefill."""
         run = self.runs.get(request_id)
         if run is None or not run.is_prefilling:
             return
-        note_read(self.runs, run)
+        record_prefill_overlap(self.runs, run)
         self.runs[request_id] = run._replace(
             is_prefilling=False,
-            first_ms=now,
-            end_ms=now + self._making_ms(run),
+            first_token_at_ms=now,
+            expected_end_ms=now + self._output_ms(run),
         )
-        if run.unit_ms and self.traits.is_model:
-            weight = run.unit_ms / (run.unit_ms + LEARN_MS)
-            seen = took_ms / run.unit_ms
-            learned = self.slowness + weight * (seen - self.slowness)
-            self.slowness = min(max(learned, MIN_SLOWNESS), MAX_SLOWNESS)
-        self._recount(now)
+        if run.expected_first_token_ms and self.traits.is_model:
+            weight = run.expected_first_token_ms / (
+                run.expected_first_token_ms + SAMPLE_WEIGHT_MS
+            )
+            observed = took_ms / run.expected_first_token_ms
+            slowness = self.slowness + weight * (observed - self.slowness)
+            self.slowness = min(max(slowness, MIN_SLOWNESS), MAX_SLOWNESS)
+        self._cap_backlog(now)
 
     def end(self, request_id: str, end: RunEnd, now: float) -> EngineRun | None:
-        """Take a run off and judge the engine by how it ended."""
+        """Remove a run and update the engine's health by how it ended."""
         run = self.runs.pop(request_id, None)
         if run is None:
             return None
         if run.is_prefilling:
-            self._recount(now)
+            self._cap_backlog(now)
         if end == RunEnd.ANSWERED:
             self._learn_output(run, now)
-        self.health.note_end(run.zone, end, now)
+        self.health.record_run_end(run.zone, end, now)
         return run
 
     def learn_pause(self, run: EngineRun, longest_gap_ms: float) -> None:
-        """Learn from the longest pause in an answer that is whole."""
-        if run.beside_ms and longest_gap_ms and self.traits.is_model:
-            self.learned.pauses.learn(
+        """Update the gap estimate from the longest gap of a complete stream."""
+        if (
+            run.overlapping_prefill_ms
+            and longest_gap_ms
+            and self.traits.is_model
+        ):
+            self.estimates.gaps.learn(
                 longest_gap_ms / self.slowness,
-                run.beside_ms,
+                run.overlapping_prefill_ms,
                 self.traits.tokens_per_event,
             )
 
     def drop_sender(self, sender: str) -> None:
-        """Forget the runs that came by a connection that has gone."""
-        gone = [key for key, run in self.runs.items() if run.sender == sender]
-        for request_id in gone:
+        """Remove the runs of a closed connection."""
+        dropped = [
+            key for key, run in self.runs.items() if run.sender == sender
+        ]
+        for request_id in dropped:
             run = self.runs.pop(request_id)
             if run.is_prefilling:
-                reading_ms = prefill_ms(run.prompt_tokens) * self.slowness
-                self._prefilled_ms -= reading_ms
+                prefill_work_ms = prefill_ms(run.prompt_tokens) * self.slowness
+                self._prefill_done_ms -= prefill_work_ms
 
-    def _making_ms(self, run: EngineRun) -> float:
-        """Expect how long a run goes on after its first token."""
-        output = self.learned.output
+    def _output_ms(self, run: EngineRun) -> float:
+        """Estimate how long a run continues after its first token."""
+        output = self.estimates.output
         if not self.traits.is_model:
             return output.call_ms
         return run.output_tokens * output.token_ms * self.slowness
 
     def _learn_output(self, run: EngineRun, now: float) -> None:
-        output = self.learned.output
+        output = self.estimates.output
         if not self.traits.is_model:
             output.learn_call(now - run.started_ms)
-        elif run.first_ms:
-            took_ms = (now - run.first_ms) / self.slowness
+        elif run.first_token_at_ms:
+            took_ms = (now - run.first_token_at_ms) / self.slowness
             output.learn_tokens(took_ms, run.output_tokens)
 
-    def _recount(self, now: float) -> None:
-        # The engine may be ahead of what was expected of it, or behind: what
-        # is left to read follows from the runs without a first token.
+    def _cap_backlog(self, now: float) -> None:
+        # The engine may be faster or slower than estimated. The remaining
+        # prefill work is at most that of the runs without a first token.
         left_ms = sum(
             prefill_ms(run.prompt_tokens) * self.slowness
             for run in self.runs.values()
             if run.is_prefilling
         )
-        self._prefilled_ms = min(self._prefilled_ms, now + left_ms)
+        self._prefill_done_ms = min(self._prefill_done_ms, now + left_ms)
 
 
-def forecast_places(
+def forecast_slots(
     loads: Sequence[EngineLoad],
     waiting: int,
     interval_ms: float,
     now: float,
 ) -> Forecast:
-    """Forecast when places become free.
+    """Forecast when slots become free.
 
     Runs granted by another owner have no expected end before their first token
-    and are left out; counted as overdue, they would cause every request to be
+    and are left out. If they counted as overdue, every request would be
     refused.
 
-    :param loads: engines that are not leaving.
+    :param loads: engines that are not draining.
     :param waiting: number of waiting requests; the ends of runs are collected
-        only if there are not more free places than this.
+        only if there are not more free slots than this.
     :param interval_ms: mean time between grants.
     """
-    places = sum(load.free_places() for load in loads)
+    free_slots = sum(load.free_slots() for load in loads)
     ends_ms: list[float] = []
-    if places <= waiting:
+    if free_slots <= waiting:
         ends_ms = [
-            run.end_ms
+            run.expected_end_ms
             for load in loads
             for run in load.runs.values()
-            if run.end_ms
+            if run.expected_end_ms
         ]
-    return Forecast.from_ends(places, ends_ms, interval_ms, now)
+    return Forecast.from_ends(free_slots, ends_ms, interval_ms, now)
--- a/hornbeamdeck/scheduling/engine_run.py
+++ b/hornbeamdeck/scheduling/engine_run.py
@@ -4,48 +4,56 @@
 
 from hornbeamdeck.scheduling.pause_estimate import prefill_ms
 
-__all__ = ('EngineRun', 'note_read')
+__all__ = ('EngineRun', 'record_prefill_overlap')
 
 
 class EngineRun(NamedTuple):
     """One run.
 
     :param sender: the connection of the ingress that holds it.
-    :param zone: that ingress's availability zone.
-    :param unit_ms: expected time to its first token at slowness 1.
-    :param gap_ms: longest pause that its stream may show; 0: no stream.
-    :param stake: what its stream is worth, against other requests.
-    :param first_ms: when its first token was heard of; 0: not yet.
-    :param output_tokens: that it is expected to make.
-    :param end_ms: when it is expected to end; 0: not known.
-    :param beside_ms: longest time, at slowness 1, of reading a prompt that was
-        read while its stream ran.
+    :param zone: the availability zone of that ingress.
+    :param expected_first_token_ms: expected time to its first token, scaled to
+        slowness 1.
+    :param max_gap_ms: longest gap between events that its stream may show; 0:
+        it is not a stream.
+    :param stream_value: value of its stream, compared with other requests.
+    :param first_token_at_ms: when its first token was reported; 0: not yet.
+    :param output_tokens: number of tokens that it is expected to generate.
+    :param expected_end_ms: when it is expected to end; 0: unknown.
+    :param overlapping_prefill_ms: longest prefill, at slowness 1, that started
+        and ended while its stream ran.
     """
 
     sender: str
     zone: str
     fingerprint: str
     prompt_tokens: int
-    unit_ms: float
-    gap_ms: int
+    expected_first_token_ms: float
+    max_gap_ms: int
     is_prefilling: bool
-    stake: float = 0.0
+    stream_value: float = 0.0
     started_ms: float = 0.0
-    first_ms: float = 0.0
+    first_token_at_ms: float = 0.0
     output_tokens: int = 0
-    end_ms: float = 0.0
-    beside_ms: float = 0.0
+    expected_end_ms: float = 0.0
+    overlapping_prefill_ms: float = 0.0
 
     @property
     def is_streaming(self) -> bool:
-        """Whether a pause would show in its answer now."""
-        return self.gap_ms > 0 and not self.is_prefilling
+        """Whether a gap would be visible in its response now."""
+        return self.max_gap_ms > 0 and not self.is_prefilling
 
 
-def note_read(runs: dict[str, EngineRun], read: EngineRun) -> None:
-    """Note beside which streams a prompt was read from its start to its end."""
-    reading_ms = prefill_ms(read.prompt_tokens)
+def record_prefill_overlap(
+    runs: dict[str, EngineRun], prefilled: EngineRun
+) -> None:
+    """Record a completed prefill on the streams that ran all the while."""
+    prefill_work_ms = prefill_ms(prefilled.prompt_tokens)
     for request_id, run in runs.items():
-        was_beside = run.is_streaming and run.first_ms < read.started_ms
-        if was_beside and reading_ms > run.beside_ms:
-            runs[request_id] = run._replace(beside_ms=reading_ms)
+        was_overlapping = (
+            run.is_streaming and run.first_token_at_ms < prefilled.started_ms
+        )
+        if was_overlapping and prefill_work_ms > run.overlapping_prefill_ms:
+            runs[request_id] = run._replace(
+                overlapping_prefill_ms=prefill_work_ms
+            )
--- a/hornbeamdeck/scheduling/estimate.py
+++ b/hornbeamdeck/scheduling/estimate.py
@@ -1,4 +1,4 @@
-"""What an upstream's past answers tell of its speed."""
+"""Estimates of an upstream's speed, learned from its responses."""
 
 from typing import Final
 
@@ -9,15 +9,15 @@
 
 
 class LinearFit:
-    """Least squares of a time over a length, older samples counting less.
+    """Least-squares fit of a time to a length; older samples count less.
 
-    A plain average of time a token would take the fixed part of a short
-    prompt's time for a cost of each of its tokens, and long prompts would be
-    refused as hopeless.
+    An average time per token would count the fixed part of a short prompt's
+    time as a cost of each of its tokens. Long prompts would then be refused
+    because they seem impossible to serve in time.
     """
 
     def __init__(self) -> None:
-        """Start without samples; everything is estimated as 0."""
+        """Start without samples; every estimate is 0."""
         self._weight = 0.0
         self._mean_x = 0.0
         self._mean_y = 0.0
@@ -25,7 +25,7 @@
         self._covariance = 0.0
 
     def learn(self, length: float, time_ms: float) -> None:
-        """Take in a sample."""
+        """Add a sample."""
         self._weight = self._weight * DECAY + 1
         share = 1 / self._weight
         off_x = length - self._mean_x
@@ -37,7 +37,7 @@
         self._covariance = kept * (self._covariance + share * off_x * off_y)
 
     def time_ms(self, length: float) -> float:
-        """Estimate the time for a length, milliseconds."""
+        """Estimate the time for a length, in milliseconds."""
         if not self._weight:
             return 0.0
         slope = max(self._covariance / max(self._variance, MIN_VARIANCE), 0)
@@ -46,33 +46,33 @@
 
 
 class SpeedEstimate:
-    """Time to first token by prompt, and from there on by answer."""
+    """Estimates of the time to first token and of the output time."""
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
+        """Start without samples."""
         self._first_token = LinearFit()
         self._output = LinearFit()
 
     def learn_first_token(self, first_token_ms: float, tokens: int) -> None:
-        """Take in a time to first token.
+        """Add an observed time to first token.
 
         :param tokens: prompt tokens that had to be prefilled before it.
         """
         self._first_token.learn(tokens, first_token_ms)
 
     def learn_output(self, output_ms: float, tokens: int) -> None:
-        """Take in how long an answer took after its first token.
+        """Add an observed time from the first token to the end of a response.
 
-        :param tokens: the bound that was asked for, since that is what is
-            known when the next one is placed.
+        :param tokens: the requested maximum, since the actual number is not
+            known when the next request is placed.
         """
         self._output.learn(tokens, max(output_ms, 0))
 
     def first_token_ms(self, prompt_tokens: int) -> float:
-        """Estimate the time to first token, milliseconds."""
+        """Estimate the time to first token, in milliseconds."""
         return self._first_token.time_ms(prompt_tokens)
 
     def service_ms(self, prompt_tokens: int, output_tokens: int) -> float:
-        """Estimate how long a run takes, milliseconds."""
+        """Estimate the duration of a run, in milliseconds."""
         output_ms = self._output.time_ms(output_tokens)
         return self.first_token_ms(prompt_tokens) + output_ms
--- a/hornbeamdeck/scheduling/forecast.py
+++ b/hornbeamdeck/scheduling/forecast.py
@@ -1,8 +1,9 @@
-"""When the places of a service's engines come free, from what is known of runs.
+"""Forecast of when slots of a service's engines become free.
 
-Load pattern: all places are taken for seconds and short answers run beside long
-ones. A mean time between grants tells nothing of the next place; what each run
-has still to read and to make, at its engine's speed, does.
+Load pattern: all slots are taken for seconds, and short responses run next to
+long ones. The mean time between grants does not predict when the next slot
+becomes free. The remaining prefill and output of each run, at the speed of its
+engine, does.
 """
 
 from collections.abc import Iterable
@@ -10,17 +11,20 @@
 
 __all__ = ('Forecast',)
 
-# A run past its expected end goes on for about this part of what it is over:
-# lengths that are often far off have long tails. Chosen, not measured; at 0 an
-# overdue run's place would be promised to one request after another.
+# A run past its expected end is expected to continue for about this share of
+# the time by which it is overdue, because output lengths that are often
+# estimated wrongly have long tails. Chosen, not measured. At 0 an overdue run's
+# slot would be promised to one request after another.
 OVERDUE_SHARE: Final = 0.2
 
 
 class Forecast(NamedTuple):
-    """When places come free.
+    """When slots become free.
 
-    :param free_ms: from now, for each place, in order; 0: it is free.
-    :param interval_ms: mean time between grants, for what waits beyond these.
+    :param free_ms: time from now for each slot, in ascending order; 0: it is
+        free.
+    :param interval_ms: mean time between grants, used for requests beyond these
+        slots.
     """
 
     free_ms: tuple[float, ...]
@@ -29,22 +33,22 @@
     @classmethod
     def from_ends(
         cls,
-        places: int,
+        free_slots: int,
         ends_ms: Iterable[float],
         interval_ms: float,
         now: float,
     ) -> Self:
-        """Make it from free places and the expected ends of runs."""
-        left = sorted(
+        """Create it from the free slots and the expected ends of runs."""
+        remaining_ms = sorted(
             end_ms - now if end_ms >= now else (now - end_ms) * OVERDUE_SHARE
             for end_ms in ends_ms
         )
-        return cls((0.0,) * places + tuple(left), interval_ms)
+        return cls((0.0,) * free_slots + tuple(remaining_ms), interval_ms)
 
     def start_in_ms(self, ahead: int) -> float:
-        """Expect when a request starts, from now.
+        """Estimate the time until a request starts.
 
-        :param ahead: requests that start before it.
+        :param ahead: number of requests that start before it.
         """
         known = len(self.free_ms)
         if ahead < known:
--- a/hornbeamdeck/scheduling/output_estimate.py
+++ b/hornbeamdeck/scheduling/output_estimate.py
@@ -1,40 +1,41 @@
-"""How long answers take once they have begun, learned for each service.
+"""Estimate of how long responses take after their first token, by service.
 
-Load pattern: short answers run beside long ones, and callers' guesses of their
-lengths are off several times. The mean of many is good, and it tells when
-places come free.
+Load pattern: short responses run next to long ones, and the output lengths that
+callers expect are off by several times. The mean of many responses is accurate,
+and it is needed to forecast when slots become free.
 """
 
 from typing import Final
 
 __all__ = ('OutputEstimate',)
 
-# Where learning starts: a step of a common engine and what prompts that are
-# read beside add to it, milliseconds at slowness 1.
-FIRST_TOKEN_TIME_MS: Final = 5.0
-# The same for a call to a service that makes no tokens: what users' sheets give
-# for such services, 20 to 45 ms.
-FIRST_CALL_MS: Final = 30.0
-# One answer counts for so much of what is known: the guesses of callers are off
-# several times, only the mean of many is good.
-LEARNED_SHARE: Final = 0.03
-# An answer that went on for ten times its caller's guess counts as this much.
-MAX_TOKEN_TIME_MS: Final = 50.0
+# Initial time per output token: a step of a common engine and the share of
+# concurrent prefills in it, in milliseconds at slowness 1.
+INITIAL_TOKEN_MS: Final = 5.0
+# Initial time of a call to a service that generates no tokens. The users' data
+# sheets list 20 to 45 ms for such services.
+INITIAL_CALL_MS: Final = 30.0
+# Weight of one response in the estimate. It is small because the lengths that
+# callers expect are off by several times and only the mean of many is accurate.
+LEARNING_RATE: Final = 0.03
+# Upper bound of one sample, for a response ten times as long as its caller
+# expected.
+MAX_TOKEN_MS: Final = 50.0
 
 
 class OutputEstimate:
-    """How long runs go on after their first token, for one service."""
+    """How long runs of one service continue after their first token."""
 
     def __init__(self) -> None:
-        """Start with a common engine."""
-        self.token_ms = FIRST_TOKEN_TIME_MS
-        self.call_ms = FIRST_CALL_MS
+        """Start with the speed of a common engine."""
+        self.token_ms = INITIAL_TOKEN_MS
+        self.call_ms = INITIAL_CALL_MS
 
     def learn_tokens(self, took_ms: float, expected_tokens: int) -> None:
-        """Take in how long an answer took, at slowness 1."""
-        seen_ms = min(took_ms / max(expected_tokens, 1), MAX_TOKEN_TIME_MS)
-        self.token_ms += LEARNED_SHARE * (seen_ms - self.token_ms)
+        """Add the observed output time of a response, at slowness 1."""
+        observed_ms = min(took_ms / max(expected_tokens, 1), MAX_TOKEN_MS)
+        self.token_ms += LEARNING_RATE * (observed_ms - self.token_ms)
 
     def learn_call(self, took_ms: float) -> None:
-        """Take in how long a call without tokens took."""
-        self.call_ms += LEARNED_SHARE * (took_ms - self.call_ms)
+        """Add the observed duration of a call without tokens."""
+        self.call_ms += LEARNING_RATE * (took_ms - self.call_ms)
--- a/hornbeamdeck/scheduling/pause_estimate.py
+++ b/hornbeamdeck/scheduling/pause_estimate.py
@@ -1,70 +1,76 @@
-"""How long reading a prompt makes the streams beside it pause, learned.
+"""Estimate of the gaps that prefilling a prompt causes in other streams.
 
-Load pattern: long prompts arrive among streams. An engine reads a prompt in
-chunks, one in each step between the tokens of all its streams, and says nothing
-of their size. Taken too large, prompts wait for an engine without streams until
-they are late, with places free all the while; too small, they break streams.
+Load pattern: long prompts arrive among streams. An engine prefills a prompt in
+chunks, one in each step between the tokens of all its streams, and does not
+report the chunk size. If the estimate is too large, prompts wait for an engine
+without streams until they are late although slots are free. If it is too small,
+they interrupt streams.
 """
 
 from typing import Final
 
-__all__ = ('PauseEstimate', 'prefill_ms')
+__all__ = ('GapEstimate', 'prefill_ms')
 
-# The model of an engine of slowness 1; what an engine really takes is learned
-# as a factor on it. The figures are those of a current 70b model's engine.
+# Model of an engine of slowness 1. The actual speed of an engine is learned as
+# a factor on it. The values are those of a current 70b model's engine.
 PREFILL_TOKENS_PER_MS: Final = 60.0
-# Attention makes a prompt's cost grow with its square, ms a million pairs.
+# Attention makes a prompt's cost grow with the square of its length;
+# milliseconds for a million pairs of tokens.
 PAIRS_MS_PER_MILLION: Final = 0.32
 MILLION: Final = 1_000_000.0
 STEP_MS: Final = 3.5
-# Where learning starts: the chunk that common engines read by default, tokens.
-FIRST_CHUNK_TOKENS: Final = 2048
-# A pause counts for so much of what is known: three long prompts read beside a
-# stream move the estimate more than half of the way.
-LEARNED_SHARE: Final = 0.3
-# A prompt must have taken so many times the pause to be read, or the pause
-# shows the end of the prompt and not of a chunk. The margin is for the way of
-# the first token, by which reading seems longer.
-WHOLE_CHUNKS: Final = 1.25
-# A longer pause than reading can explain comes from elsewhere: a lost packet, a
-# machine that stood still.
-EXPLAINED: Final = 0.8
-# Events that arrive together show no step at all; no engine's is shorter.
+# Initial chunk size: the default of common engines, in tokens.
+INITIAL_CHUNK_TOKENS: Final = 2048
+# Weight of one gap in the estimate: three long prompts that are prefilled next
+# to a stream move the estimate more than half of the way.
+LEARNING_RATE: Final = 0.3
+# A gap shows a whole chunk only if the prefill took this many times as long.
+# Otherwise the prompt may have ended within the chunk. The margin covers the
+# network time of the first token, which makes the prefill seem longer.
+WHOLE_CHUNK_RATIO: Final = 1.25
+# A gap that is too long to be explained by the prefill has another cause: a
+# lost packet or a machine that stalled.
+EXPLAINED_SHARE: Final = 0.8
+# Lower bound of a step, since events that arrive together show no gap. No
+# engine's step is shorter.
 MIN_STEP_MS: Final = 1.0
 
 
 def prefill_ms(tokens: int) -> float:
-    """Time that an engine of slowness 1 takes to read a prompt."""
+    """Return the time in which an engine of slowness 1 prefills a prompt."""
     pairs = tokens * tokens / 2 / MILLION
     return tokens / PREFILL_TOKENS_PER_MS + pairs * PAIRS_MS_PER_MILLION
 
 
-class PauseEstimate:
-    """The time of a step that reads, for the engines of one service."""
+class GapEstimate:
+    """Duration of an engine step that prefills, for one service."""
 
     def __init__(self) -> None:
         """Start with the step of a common engine."""
-        self.step_ms = prefill_ms(FIRST_CHUNK_TOKENS) + STEP_MS
+        self.step_ms = prefill_ms(INITIAL_CHUNK_TOKENS) + STEP_MS
 
-    def pause_ms(self, reading_ms: float, tokens_per_event: int) -> float:
-        """Expect a pause in a stream; times at slowness 1.
+    def gap_ms(self, prefill_work_ms: float, tokens_per_event: int) -> float:
+        """Estimate the gap in a stream; times at slowness 1.
 
-        :param reading_ms: of all prompts that are to be read beside it.
+        :param prefill_work_ms: for all prompts that are prefilled next to it.
         """
-        return min(reading_ms, tokens_per_event * self.step_ms)
+        return min(prefill_work_ms, tokens_per_event * self.step_ms)
 
     def learn(
         self,
-        pause_ms: float,
-        reading_ms: float,
+        gap_ms: float,
+        prefill_work_ms: float,
         tokens_per_event: int,
     ) -> None:
-        """Take in the longest pause of a stream; times at slowness 1.
+        """Add the longest gap of a stream; times at slowness 1.
 
-        :param reading_ms: of the longest prompt that was read beside it.
+        :param prefill_work_ms: for the longest prompt that was prefilled next
+            to it.
         """
-        step_ms = max(pause_ms / max(tokens_per_event, 1), MIN_STEP_MS)
-        is_whole = reading_ms >= pause_ms * WHOLE_CHUNKS
+        step_ms = max(gap_ms / max(tokens_per_event, 1), MIN_STEP_MS)
+        is_whole = prefill_work_ms >= gap_ms * WHOLE_CHUNK_RATIO
         is_longer = step_ms > self.step_ms
-        if is_whole or (is_longer and reading_ms >= pause_ms * EXPLAINED):
-            self.step_ms += LEARNED_SHARE * (step_ms - self.step_ms)
+        if is_whole or (
+            is_longer and prefill_work_ms >= gap_ms * EXPLAINED_SHARE
+        ):
+            self.step_ms += LEARNING_RATE * (step_ms - self.step_ms)
--- a/hornbeamdeck/scheduling/placement_scan.py
+++ b/hornbeamdeck/scheduling/placement_scan.py
@@ -1,10 +1,10 @@
-"""Incremental scans that match waiting requests with free places.
+"""Incremental scans that match waiting requests with free slots.
 
-Load pattern: hundreds of requests wait while some engines have free places that
-none of them can use, since those engines do not answer or are several times too
-slow. Each message to the owner triggers a scan, and most messages change one
-engine. Trying every request on every engine each time takes more than a core,
-which delays all requests at the owner.
+Load pattern: hundreds of requests wait while some engines have free slots that
+none of them can use, since those engines do not respond or are several times
+too slow. Each message to the owner triggers a scan, and most messages change
+one engine. Trying every request on every engine each time takes more than a
+core, which delays all requests at the owner.
 """
 
 import math
@@ -17,12 +17,12 @@
 __all__ = ('PlacementScan', 'PlacementTracker')
 
 # Interval of full scans, for requests that can start merely because time has
-# passed; a little shorter than the scheduler's sweep (25 ms).
+# passed; a little shorter than the scheduler's check interval (25 ms).
 FULL_SCAN_MS: Final = 20.0
 
 
 class PlacementScan:
-    """One scan of the waiting requests over engines with a free place."""
+    """One scan of the waiting requests over engines with a free slot."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
     ) -> None:
         """Set the engines to scan.
 
-        :param free: all engines with a free place, for untried requests.
+        :param free: all engines with a free slot, for untried requests.
         :param changed: those of them to try again for the other requests.
         :param arrived: teams of the untried requests, by request id.
         """
@@ -79,8 +79,8 @@
         return self._changed or None
 
     def remove_if_full(self, load: EngineLoad) -> None:
-        """Remove an engine from the scan once it has no free place."""
-        if load.has_place():
+        """Remove an engine from the scan once it has no free slot."""
+        if load.has_free_slot():
             return
         self.free = [each for each in self.free if each is not load]
         self._changed = [each for each in self._changed if each is not load]
@@ -99,11 +99,11 @@
         """Make the next scan a full one."""
         self._last_full_scan_ms = -math.inf
 
-    def note_engine_changed(self, engine: str) -> None:
+    def record_engine_change(self, engine: str) -> None:
         """Include an engine whose runs have changed in the next scan."""
         self._changed.add(engine)
 
-    def note_arrival(self, request: Enqueue) -> None:
+    def record_arrival(self, request: Enqueue) -> None:
         """Try a newly enqueued request on all engines in the next scan."""
         self._arrived[request.request_id] = request.team
 
@@ -123,7 +123,7 @@
         self._arrived = {}
         if not waiting:
             return PlacementScan([], [], {})
-        free = [load for load in loads if load.has_place()]
+        free = [load for load in loads if load.has_free_slot()]
         if now - self._last_full_scan_ms < FULL_SCAN_MS:
             return PlacementScan.incremental(free, changed, arrived)
         self._last_full_scan_ms = now
--- a/hornbeamdeck/scheduling/request_rank.py
+++ b/hornbeamdeck/scheduling/request_rank.py
@@ -1,61 +1,68 @@
-"""The order of requests by what is urgent and what a place is worth.
+"""Rank of a request by urgency, and the value of its response.
 
-Load pattern: every team's requests have one priority, given to the team, and
-all kinds of them press at once. Ordered by that priority alone, short answers
-to chat take the places of urgent work; so the route's priority orders whatever
-the team's leaves equal.
+Load pattern: each team has one priority for all its requests, and all kinds of
+them compete at once. If that priority alone decided the order, short chat
+responses would take the slots of urgent work. So the priority of the route
+orders requests whose teams have equal priority.
 """
 
 from typing import Final, TypeAlias
 
 from hornbeamdeck.wire import Enqueue
 
-__all__ = ('FIRST', 'Rank', 'kind_rank', 'of_kind', 'rank_of', 'stake_of')
+__all__ = (
+    'RETRY_RANK',
+    'Rank',
+    'pick_by_route_rank',
+    'rank_of',
+    'route_rank_of',
+    'value_of',
+)
 
-# Lower goes first; equal ranks go by urgency.
+# Lower ranks start first; requests of equal rank start by urgency.
 Rank: TypeAlias = tuple[float, float]
 
-# Ranks between what is late and what can be on time: a late request of the
-# first priority is still worth more than a fresh one of the next, a late one
-# of the second less than a fresh one of the third.
+# Ranks of late requests, between those that can be on time. A late request of
+# the first priority is still worth more than a new one of the next. A late one
+# of the second is worth less than a new one of the third.
 LATE_RANKS: Final = (0.5, 2.5, 3.5)
-# What a request is worth against one of the next priority and the same size.
-# Priorities say no more than an order; a quarter keeps four small answers of a
-# priority from being given up for one of the next.
-LOWER_SHARE: Final = 0.25
-# A token that is made takes an engine's step, one that is read a tenth of that
-# or less; callers value answers about so.
-MADE_WEIGHT: Final = 10
-# Second tries: before all others.
-FIRST: Final = (-1.0, 0.0)
-
-
-def kind_rank(request: Enqueue) -> int:
-    """Tell the priority of a request's route, 0 first."""
+# Value of a request relative to one of the next higher priority and the same
+# size. Priorities define only an order. With a quarter, four small responses of
+# a priority are not refused in favour of one of the next.
+LOWER_RANK_VALUE_SHARE: Final = 0.25
+# Generating a token takes an engine step, prefilling one takes a tenth of that
+# or less. Callers value responses in about this ratio.
+OUTPUT_TOKEN_WEIGHT: Final = 10
+# Retries go before all other requests.
+RETRY_RANK: Final = (-1.0, 0.0)
+
+
+def route_rank_of(request: Enqueue) -> int:
+    """Return the priority of a request's route; 0 is the highest."""
     if request.route_rank is None:
         return int(request.tier_rank)
     return int(request.route_rank)
 
 
-def of_kind(by_rank: tuple[float, ...], request: Enqueue) -> float:
-    """Pick the value for the priority of a request's route."""
-    return by_rank[min(kind_rank(request), len(by_rank) - 1)]
+def pick_by_route_rank(by_rank: tuple[float, ...], request: Enqueue) -> float:
+    """Return the value for the priority of a request's route."""
+    return by_rank[min(route_rank_of(request), len(by_rank) - 1)]
 
 
 def rank_of(request: Enqueue, *, is_late: bool) -> Rank:
-    """Tell a request's place in the order.
+    """Return a request's rank in the wait queue.
 
     :param is_late: whether it can't be on time any more.
     """
-    rank = float(kind_rank(request))
+    rank = float(route_rank_of(request))
     if is_late:
-        rank = of_kind(LATE_RANKS, request)
+        rank = pick_by_route_rank(LATE_RANKS, request)
     if request.route_rank is None:
         return (rank, 0.0)
     return (float(request.tier_rank), rank)
 
 
-def stake_of(request: Enqueue) -> float:
-    """Tell what an answer on time is worth, against other requests."""
-    tokens = request.prompt_tokens + MADE_WEIGHT * request.output_tokens
-    return float(tokens * LOWER_SHARE ** kind_rank(request))
+def value_of(request: Enqueue) -> float:
+    """Return the value of a response on time, compared with other requests."""
+    tokens = request.prompt_tokens + OUTPUT_TOKEN_WEIGHT * request.output_tokens
+    return float(tokens * LOWER_RANK_VALUE_SHARE ** route_rank_of(request))
--- a/hornbeamdeck/scheduling/return_times.py
+++ b/hornbeamdeck/scheduling/return_times.py
@@ -1,65 +1,67 @@
-"""When refused callers are told to come back, and who has come back.
+"""Retry times for refused callers, and recognition of their retries.
 
-Load pattern: a burst refuses dozens of requests a second, and their callers
-honour what they are told. Told the same, they return together and meet the
-wall that they are about to build. So each gets a time of its own, spread over
-what the engines can start, beginning when the queue of now is gone.
+Load pattern: in a burst dozens of requests are refused each second, and their
+callers honour the retry time that they receive. If all received the same time,
+they would return together and cause the next overload. So each caller gets its
+own time. The times are spread by the rate at which the engines can start
+requests and begin when the current queue has been served.
 
-Whoever returns has missed its objective. Served before fresh requests it would
-make these late in their turn, and soon all would be.
+A request that returns has missed its objective. If it were served before new
+requests, it would make these late in turn, and soon all would be late.
 """
 
 from collections import OrderedDict
 from typing import Final
 
-__all__ = ('ReturnTimes',)
+__all__ = ('RetrySchedule',)
 
-# A burst that fills all places lasts for seconds; who returns sooner meets it.
-MIN_MS: Final = 1000
-# Callers give up on what is longer.
-MAX_MS: Final = 5000
-# Of the places that come free, so many go to fresh requests for each that goes
-# to one that returns.
-FRESH_SHARE: Final = 3
-# A request seen again this long after it was refused is another one.
-RETURN_MS: Final = 8000
+# A burst that fills all slots lasts for seconds. A caller that retries earlier
+# is refused again.
+MIN_RETRY_AFTER_MS: Final = 1000
+# Callers don't wait longer than this.
+MAX_RETRY_AFTER_MS: Final = 5000
+# Number of slots that go to new requests for each slot that goes to a retry.
+NEW_REQUESTS_PER_RETRY: Final = 3
+# A request with the same fingerprint that comes later than this after the
+# refusal counts as a new request.
+RETRY_WINDOW_MS: Final = 8000
 MAX_REMEMBERED: Final = 4000
 
 
-class ReturnTimes:
-    """The next moment that no caller has been told yet."""
+class RetrySchedule:
+    """Assigns a separate retry time to each refused caller."""
 
     def __init__(self) -> None:
-        """Start with nobody told."""
+        """Start without refused callers."""
         self._next_ms = 0.0
         self._refused: OrderedDict[str, float] = OrderedDict()
 
-    def take(
+    def assign(
         self,
         fingerprint: str,
         drain_ms: float,
         interval_ms: float,
         now: float,
     ) -> int:
-        """Give one caller the time after which to return, milliseconds.
+        """Return the time after which a caller is to retry, in milliseconds.
 
-        :param fingerprint: of its request, by which it is known again.
-        :param drain_ms: until all that waits now has started.
-        :param interval_ms: between the starts of two requests.
+        :param fingerprint: identifies its request when it returns.
+        :param drain_ms: time until all waiting requests have started.
+        :param interval_ms: time between the starts of two requests.
         """
         self._refused[fingerprint] = now
         if len(self._refused) > MAX_REMEMBERED:
             self._refused.popitem(last=False)
-        earliest_ms = now + max(drain_ms, MIN_MS)
+        earliest_ms = now + max(drain_ms, MIN_RETRY_AFTER_MS)
         self._next_ms = max(self._next_ms, earliest_ms)
-        self._next_ms = min(self._next_ms, now + MAX_MS)
-        told_ms = self._next_ms - now
-        self._next_ms += interval_ms * FRESH_SHARE
-        return int(told_ms)
+        self._next_ms = min(self._next_ms, now + MAX_RETRY_AFTER_MS)
+        retry_after_ms = self._next_ms - now
+        self._next_ms += interval_ms * NEW_REQUESTS_PER_RETRY
+        return int(retry_after_ms)
 
-    def since_refused_ms(self, fingerprint: str, now: float) -> float:
-        """Tell how long ago a request was refused that comes now; 0: never."""
+    def time_since_refusal_ms(self, fingerprint: str, now: float) -> float:
+        """Return how long ago an arriving request was refused; 0: never."""
         refused_ms = self._refused.pop(fingerprint, None)
-        if refused_ms is None or now - refused_ms > RETURN_MS:
+        if refused_ms is None or now - refused_ms > RETRY_WINDOW_MS:
             return 0.0
         return now - refused_ms
--- a/hornbeamdeck/scheduling/suspicion.py
+++ b/hornbeamdeck/scheduling/suspicion.py
@@ -1,9 +1,10 @@
-"""Which requests upstreams have died of, as far as a cell's owner can tell.
+"""Detection of requests that crash upstreams, by the owner of a cell.
 
-When an upstream breaks under its runs, each of them may be the cause. A
-suspect then runs again only where no other suspect runs. If an upstream breaks
-under it once more, it is the culprit and is refused; if it is answered, it was
-innocent. So one request, sent again and again, costs two upstreams.
+When an upstream fails, each of its runs may be the cause. A suspected request
+then runs again only while no other suspected request runs. If an upstream fails
+again while running it, it is confirmed as the cause and refused. If it is
+answered, it is cleared. So one request that is retried again and again costs
+two upstreams.
 """
 
 from collections.abc import Iterable
@@ -11,23 +12,23 @@
 
 from hornbeamdeck.wire import RunEnd, Suspect
 
-__all__ = ('CULPRIT_CRASHES', 'Suspicions')
+__all__ = ('POISON_CRASHES', 'Suspicions')
 
-CULPRIT_CRASHES: Final = 2
+POISON_CRASHES: Final = 2
 MEMORY_MS: Final = 600_000
 SAME_CRASH_MS: Final = 2000
 
 
-class BrokenUpstream(Protocol):
-    """What has to be known of an upstream that broke."""
+class FailedUpstream(Protocol):
+    """The attributes of a failed upstream that are needed here."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the upstream."""
 
     @property
     def service(self) -> str:
-        """The service that it serves."""
+        """Service that it belongs to."""
 
 
 class _Suspicion(NamedTuple):
@@ -36,15 +37,15 @@
 
 
 class Suspicions:
-    """What is held against requests, by fingerprint."""
+    """Counts the crashes attributed to requests, by fingerprint."""
 
     def __init__(self) -> None:
-        """Suspect nobody."""
+        """Start without suspected requests."""
         self._suspicions: dict[str, _Suspicion] = {}
-        self._blamed_until_ms: dict[str, float] = {}
+        self._attributed_until_ms: dict[str, float] = {}
 
     def crashes(self, fingerprint: str, now: float) -> int:
-        """Tell how many crashes a request is held to have caused."""
+        """Return the number of crashes attributed to a request."""
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is None:
             return 0
@@ -54,8 +55,8 @@
         return suspicion.crashes
 
     def is_culprit(self, fingerprint: str, now: float) -> bool:
-        """Whether a request is to be refused."""
-        return self.crashes(fingerprint, now) >= CULPRIT_CRASHES
+        """Return whether a request is to be refused."""
+        return self.crashes(fingerprint, now) >= POISON_CRASHES
 
     def must_wait(
         self,
@@ -63,9 +64,9 @@
         running: Iterable[str],
         now: float,
     ) -> bool:
-        """Whether a suspect is kept back while another one runs.
+        """Return whether a suspected request must wait for another one to end.
 
-        With two at a time, a second crash would name neither.
+        If two ran at a time, a second crash would not show which one caused it.
 
         :param running: fingerprints of all runs of the cell.
         """
@@ -74,63 +75,67 @@
         return any(self.crashes(other, now) for other in running)
 
     def note(self, fingerprint: str, crashes: int, now: float) -> None:
-        """Take over what another owner held against a request."""
-        known = max(crashes, self.crashes(fingerprint, now))
-        self._suspicions[fingerprint] = _Suspicion(known, now + MEMORY_MS)
+        """Apply the number of crashes that another owner has counted."""
+        crash_count = max(crashes, self.crashes(fingerprint, now))
+        self._suspicions[fingerprint] = _Suspicion(crash_count, now + MEMORY_MS)
 
     def clear(self, fingerprint: str) -> None:
-        """Drop a suspicion, since the request has been answered."""
+        """Clear a request, since it has been answered."""
         self._suspicions.pop(fingerprint, None)
 
-    def note_end(
+    def record_run_end(
         self,
-        upstream: BrokenUpstream,
+        upstream: FailedUpstream,
         fingerprint: str,
         end: RunEnd,
         *,
-        together: Iterable[str],
+        concurrent: Iterable[str],
         now: float,
     ) -> Suspect | None:
-        """Learn from how a run ended.
+        """Update the suspicions by how a run ended.
 
-        :param together: fingerprints of all runs of the upstream, this one
-            included.
-        :returns: whom a break is now held against, if any.
+        :param concurrent: fingerprints of all runs of the upstream, including
+            this one.
+        :returns: the request that is now suspected of a failure, if any.
         """
         if end == RunEnd.ANSWERED:
             self.clear(fingerprint)
         if end != RunEnd.FAILED:
             return None
-        blamed = self.note_break(upstream.name, fingerprint, together, now)
-        if not blamed:
+        suspect = self.record_failure(
+            upstream.name, fingerprint, concurrent, now
+        )
+        if not suspect:
             return None
         return Suspect(
             cell=upstream.service,
-            fingerprint=blamed,
-            crashes=self.crashes(blamed, now),
+            fingerprint=suspect,
+            crashes=self.crashes(suspect, now),
         )
 
-    def note_break(
+    def record_failure(
         self,
         upstream: str,
         fingerprint: str,
         runs: Iterable[str],
         now: float,
     ) -> str:
-        """Take in that an upstream broke under a run.
+        """Record that an upstream failed while it executed a run.
 
-        :param fingerprint: of the run that was reported broken.
-        :param runs: fingerprints of all runs there, this one included.
-        :returns: the fingerprint that this is now held against; empty where
-            the blame for this break has been laid already.
+        :param fingerprint: of the run that was reported as failed.
+        :param runs: fingerprints of all runs of the upstream, including this
+            one.
+        :returns: the fingerprint that this failure is attributed to; empty if
+            the crash has been attributed already.
         """
-        if now < self._blamed_until_ms.get(upstream, 0):
+        if now < self._attributed_until_ms.get(upstream, 0):
             return ''
         suspects = {each for each in runs if self.crashes(each, now)}
-        blamed = fingerprint
+        suspect = fingerprint
         if len(suspects) == 1:
-            # The others that break with it in the next moments are innocent.
-            blamed = suspects.pop()
-            self._blamed_until_ms[upstream] = now + SAME_CRASH_MS
-        self.note(blamed, self.crashes(blamed, now) + 1, now)
-        return blamed
+            # The other runs that fail with it in the next moments did not cause
+            # the crash.
+            suspect = suspects.pop()
+            self._attributed_until_ms[upstream] = now + SAME_CRASH_MS
+        self.note(suspect, self.crashes(suspect, now) + 1, now)
+        return suspect
--- a/hornbeamdeck/scheduling/ticket.py
+++ b/hornbeamdeck/scheduling/ticket.py
@@ -1,4 +1,4 @@
-"""A request that waits for a grant, as the cell's owner holds it."""
+"""A request that waits for a grant at the owner of its cell."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, TypeAlias
@@ -13,10 +13,11 @@
 class Ticket(NamedTuple):
     """One waiting request.
 
-    :param sender: the connection it came by; when that goes, so does it.
-    :param deliver: sends the ingress its grant or refusal.
-    :param deadline_ms: monotonic time of this process, milliseconds.
-    :param service_ms: estimated duration of the run, milliseconds.
+    :param sender: the connection on which it was received; the request is
+        removed when that closes.
+    :param deliver: sends its grant or refusal to the ingress.
+    :param deadline_ms: monotonic time of this process, in milliseconds.
+    :param service_ms: estimated duration of the run, in milliseconds.
     """
 
     request: Enqueue
@@ -27,5 +28,5 @@
 
     @property
     def cost_tokens(self) -> int:
-        """What it counts against its team's share."""
+        """Tokens that are charged to its team's share."""
         return int(self.request.prompt_tokens + self.request.output_tokens)
--- a/hornbeamdeck/scheduling/tier_queue.py
+++ b/hornbeamdeck/scheduling/tier_queue.py
@@ -1,9 +1,9 @@
-"""The queue of one tier: fair between teams, earliest deadline in a team.
+"""Queue of one tier: fair between teams, earliest deadline first in a team.
 
-Teams take turns by start tags (start-time fair queueing): a team's tag grows
-with each request it gets served by the request's tokens over the team's
-weight, and the team with the least tag is next. A team that was idle starts
-at the present tag, so it can't save up turns.
+Teams are served by start tags (start-time fair queueing). Each served request
+increases its team's tag by the request's tokens divided by the team's weight,
+and the team with the smallest tag is next. A team that was idle starts at the
+current tag, so it can't accumulate unused turns.
 """
 
 import heapq
@@ -50,9 +50,9 @@
         return ticket
 
     def _compact(self) -> None:
-        # Removed requests stay in both orders until they come to an end of
-        # them. Without this a team whose callers keep leaving would hold
-        # memory for every one of them.
+        # Removed requests stay in both orders until they reach an end of them.
+        # Without this cleanup, a team whose callers keep disconnecting would
+        # hold memory for every one of them.
         if len(self._by_arrival) <= 2 * len(self.tickets) + 8:
             return
         self._by_arrival = [
@@ -77,15 +77,15 @@
         self._sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
+        """Return the number of waiting requests."""
         return len(self._team_of)
 
     def __contains__(self, request_id: str) -> bool:
-        """Tell whether a request waits here."""
+        """Return whether a request waits here."""
         return request_id in self._team_of
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Walk over all waiting requests in no order."""
+        """Iterate over all waiting requests in no particular order."""
         for team in self._teams.values():
             yield from team.tickets.values()
 
@@ -100,11 +100,11 @@
         self.service_ms += ticket.service_ms
 
     def next_ticket(self) -> Ticket:
-        """Look at the request whose turn it is."""
+        """Return the next request to serve without removing it."""
         return self._next_team().earliest()
 
     def serve(self, request_id: str, weight: int) -> Ticket:
-        """Take out a request and charge its team for it."""
+        """Remove a request that is served and charge its team for it."""
         name = self._team_of[request_id]
         team = self._teams[name]
         self._tag = max(self._tag, team.tag)
@@ -114,7 +114,7 @@
         return self.remove(request_id)
 
     def remove(self, request_id: str) -> Ticket:
-        """Take out a request that is not served."""
+        """Remove a request that is not served."""
         name = self._team_of.pop(request_id)
         team = self._teams[name]
         ticket = team.remove(request_id)
@@ -122,7 +122,10 @@
         return ticket
 
     def newest_of_largest_team(self) -> Ticket:
-        """Pick whom to displace: newest of the team that asks for most."""
+        """Return the request to refuse: the newest of the largest team.
+
+        The largest team is the one that waits for the most tokens.
+        """
         largest = max(self._teams.values(), key=lambda team: team.cost_tokens)
         return largest.newest()
 
@@ -139,8 +142,8 @@
             if team is not None and team.tag == tag:
                 if team.tickets:
                     return team
-                # An idle team keeps its tag until the others have reached it,
-                # or it could gain turns by emptying its queue.
+                # An idle team keeps its tag until the others have reached it.
+                # Otherwise it could gain turns by emptying its queue.
                 self._tag = max(self._tag, tag)
                 self._teams.pop(name)
             heapq.heappop(self._order)
--- a/hornbeamdeck/scheduling/token_quota.py
+++ b/hornbeamdeck/scheduling/token_quota.py
@@ -1,8 +1,9 @@
-"""Limits of teams in tokens, kept by the owner for the whole fleet.
+"""Token limits of teams, counted by the owner for the whole fleet.
 
-Load pattern: one team sends many times its usual, through all ingress
-instances at once. Only a count in one place refuses neither too little (the
-others would wait behind it) nor too much.
+Load pattern: one team sends many times its usual load through all ingress
+instances at once. Only a single count for the fleet refuses neither too much
+nor too little. If too little were refused, the other teams would wait behind
+the excess.
 """
 
 from collections.abc import Callable
@@ -11,31 +12,39 @@
 from hornbeamdeck.const import MILLIS_PER_SECOND
 from hornbeamdeck.version.routed import RoutedTeam
 
-__all__ = ('SMALL_SHARE', 'Need', 'QuotaRules', 'QuotaView', 'TokenQuotas')
-
-# Part of the allowed slack that is used, so that a request at the very limit
-# is not refused for the clocks of two machines. The rest stays for the moment
-# in which two owners grant.
+__all__ = (
+    'SMALL_REQUEST_SHARE',
+    'Need',
+    'QuotaRules',
+    'QuotaView',
+    'TokenQuotas',
+)
+
+# Share of the allowed slack that is used, so that a request at the exact limit
+# is not refused because the clocks of two machines differ. The remainder covers
+# the moment in which two owners grant.
 SLACK_SHARE: Final = 0.6
-# From this share of the instances on, an owner spends the whole limit; those
-# that are cut off spend their own share, which fits the allowed overage.
+# An owner that serves at least this share of the instances spends the whole
+# limit. An owner of a smaller part of a partitioned fleet spends only its own
+# share, which fits in the allowed overage.
 WHOLE_SHARE: Final = 0.8
-# Part of that which may be spent at once, besides the team's burst; the rest
-# makes the buckets fill a little faster than the team's rate.
+# Share of the used slack that may be spent at once, in addition to the team's
+# burst. The remainder refills the buckets a little faster than the team's rate.
 BURST_SHARE: Final = 0.3
 MIN_RETRY_MS: Final = 100
-# A request that needs no more than this part of what waits may pass it: a
-# booking counts a few hundred tokens, a long prompt thousands, and one delays
-# the other by milliseconds. Chosen between these, not measured.
-SMALL_SHARE: Final = 0.1
+# A request that needs at most this share of the tokens that others wait for may
+# overtake them: a booking counts a few hundred tokens, a long prompt thousands,
+# and one delays the other by milliseconds. Chosen between these, not measured.
+SMALL_REQUEST_SHARE: Final = 0.1
 
 
 class QuotaView(NamedTuple):
-    """What limits depend on besides the clock.
+    """State outside this module that the limits depend on.
 
-    :param spent: tokens of a team in the last window, as ingresses report.
+    :param spent: tokens of a team in the last window, as reported by the
+        ingresses.
     :param is_remembered: whether those reports cover a whole window.
-    :param share: part of the fleet's instances that this owner serves.
+    :param share: share of the fleet's instances that this owner serves.
     """
 
     spent: Callable[[str], int]
@@ -54,15 +63,15 @@
 
 
 class Need(NamedTuple):
-    """What a request needs of its team's limit.
+    """Tokens that a request needs of its team's limit.
 
-    :param rank: requests of this priority or before it get theirs first.
-    :param patience_ms: how long it may wait for them.
+    :param rank: requests of this priority or a higher one get theirs first.
+    :param max_wait_ms: how long it may wait for them.
     """
 
     tokens: int
     rank: int
-    patience_ms: float = 0.0
+    max_wait_ms: float = 0.0
 
 
 class _Bucket:
@@ -73,18 +82,18 @@
         self.updated_ms = now
 
     def fill(self, per_ms: float, capacity: float, now: float) -> None:
-        gained = max(now - self.updated_ms, 0) * per_ms
-        self.level = min(self.level + gained, capacity)
+        refill = max(now - self.updated_ms, 0) * per_ms
+        self.level = min(self.level + refill, capacity)
         self.updated_ms = now
 
 
 class TokenQuotas:
-    """A bucket for each team that has asked.
+    """Token buckets, one for each team that has sent requests.
 
-    What a bucket holds and what it gains within a window are together what the
-    window may hold. So spending is even: after a burst there is no pause until
-    the burst has left the window, and whoever counts next, knowing nothing of
-    it, is safe with an empty bucket.
+    The capacity of a bucket and its refill within a window together equal what
+    the window may hold. So spending is even: after a burst, a team does not
+    have to wait until the burst has left the window. The next owner, which does
+    not have the count, stays within the limit by starting with an empty bucket.
     """
 
     def __init__(
@@ -96,7 +105,7 @@
     ) -> None:
         """Start without buckets.
 
-        :param is_first_start: nothing can have been spent before.
+        :param is_first_start: whether nothing can have been spent before.
         """
         self._view = view
         self._rules = rules
@@ -105,66 +114,70 @@
         self._waiting: dict[str, dict[int, int]] = {}
 
     def may_wait(self, team: RoutedTeam, need: Need, now: float) -> bool:
-        """Whether a request may wait for its tokens.
+        """Return whether a request may wait for its tokens.
 
-        A bucket that lacks some gains them in a fraction of a second. What can
-        start then and be on time waits; sent away, it would come back late, or
-        not at all.
+        A bucket that lacks a few tokens gains them in a fraction of a second. A
+        request that can start then and be on time waits. If it were refused, it
+        would come back late or not at all.
         """
         if not team.rate_per_s:
             return True
         bucket = self._filled(team, now)
         tokens = min(need.tokens, self._capacity(team))
-        ahead = self._ahead(team, need.rank)
-        if tokens <= bucket.level and tokens <= ahead * SMALL_SHARE:
+        tokens_ahead = self._tokens_ahead(team, need.rank)
+        if (
+            tokens <= bucket.level
+            and tokens <= tokens_ahead * SMALL_REQUEST_SHARE
+        ):
             return True
-        lacking = tokens + ahead - bucket.level
-        return lacking <= need.patience_ms * self._per_ms(team)
+        missing = tokens + tokens_ahead - bucket.level
+        return missing <= need.max_wait_ms * self._per_ms(team)
 
-    def wait(self, team: str, need: Need) -> None:
+    def add_waiting(self, team: str, need: Need) -> None:
         """Count a request among those that wait for a team's tokens."""
         waiting = self._waiting.setdefault(team, {})
         waiting[need.rank] = waiting.get(need.rank, 0) + need.tokens
 
-    def stop_waiting(self, team: str, need: Need) -> None:
-        """Count it no more."""
+    def remove_waiting(self, team: str, need: Need) -> None:
+        """Stop counting a request among those that wait."""
         waiting = self._waiting[team]
         waiting[need.rank] -= need.tokens
         if not any(waiting.values()):
             self._waiting.pop(team)
 
-    def has(self, team: RoutedTeam, tokens: int, now: float) -> bool:
-        """Whether a team has so many tokens now."""
+    def has_tokens(self, team: RoutedTeam, tokens: int, now: float) -> bool:
+        """Return whether a team has a number of tokens now."""
         if not team.rate_per_s:
             return True
-        # A request larger than the bucket would never pass a full one.
+        # The need is capped, since a request larger than the bucket's capacity
+        # would never start, even with a full bucket.
         needed = min(tokens, self._capacity(team))
         return self._filled(team, now).level >= needed
 
-    def take(self, team: RoutedTeam, tokens: int, now: float) -> bool:
-        """Count tokens against a team's limit if they are there."""
-        if not self.has(team, tokens, now):
+    def spend(self, team: RoutedTeam, tokens: int, now: float) -> bool:
+        """Charge tokens to a team's limit if it has them."""
+        if not self.has_tokens(team, tokens, now):
             return False
         if team.rate_per_s:
             self._buckets[team.name].level -= tokens
         return True
 
     def forget(self) -> None:
-        """Drop all buckets, since another instance is the owner now."""
+        """Remove all buckets, since another instance is the owner now."""
         self._buckets.clear()
         self._is_first_start = False
 
     def retry_after_ms(self, team: RoutedTeam, need: Need) -> int:
-        """Tell when a request's tokens will be there."""
+        """Return the time until a request's tokens are available."""
         bucket = self._buckets.get(team.name)
         if bucket is None:
             return MIN_RETRY_MS
-        lacking = min(need.tokens, self._capacity(team)) - bucket.level
-        lacking += self._ahead(team, need.rank)
-        return max(int(lacking / self._per_ms(team)) + 1, MIN_RETRY_MS)
+        missing = min(need.tokens, self._capacity(team)) - bucket.level
+        missing += self._tokens_ahead(team, need.rank)
+        return max(int(missing / self._per_ms(team)) + 1, MIN_RETRY_MS)
 
     def describe(self, team: str) -> str:
-        """Tell the state of a team's bucket, for the log."""
+        """Return the state of a team's bucket, for the log."""
         bucket = self._buckets.get(team)
         if bucket is None:
             return 'no limit in use'
@@ -178,8 +191,8 @@
         bucket.fill(self._per_ms(team), self._capacity(team), now)
         return bucket
 
-    def _ahead(self, team: RoutedTeam, rank: int) -> int:
-        """Count the tokens that go before those of a new request."""
+    def _tokens_ahead(self, team: RoutedTeam, rank: int) -> int:
+        """Return the tokens that waiting requests get before a new request."""
         waiting = self._waiting.get(team.name, {})
         return sum(tokens for other, tokens in waiting.items() if other <= rank)
 
@@ -199,14 +212,14 @@
         return per_ms * self._share()
 
     def _first_level(self, team: RoutedTeam) -> float:
-        # After a fleet's restart nobody knows what was spent right before it.
-        # An empty bucket gives each team its rate, which those below their
-        # limit hardly notice; a full one could break the limit.
+        # After a restart of the whole fleet, the tokens spent right before it
+        # are unknown. An empty bucket gives each team its rate, which hardly
+        # affects teams below their limit. A full one could exceed the limit.
         capacity = self._capacity(team)
         if self._is_first_start:
             return capacity
         if not self._view.is_remembered():
             return 0.0
-        gained = self._per_ms(team) * self._rules.window_ms
-        left = capacity + gained - self._view.spent(team.name)
+        refill = self._per_ms(team) * self._rules.window_ms
+        left = capacity + refill - self._view.spent(team.name)
         return min(capacity, left)
--- a/hornbeamdeck/scheduling/upstream_load.py
+++ b/hornbeamdeck/scheduling/upstream_load.py
@@ -1,4 +1,4 @@
-"""What the cell's owner knows of one upstream: runs, limits, speed."""
+"""State of one upstream as seen by the cell's owner: runs, limits, speed."""
 
 from typing import Final, NamedTuple
 
@@ -8,11 +8,11 @@
 
 __all__ = ('Run', 'UpstreamLoad')
 
-HEADROOM_SHARE: Final = 8
-FIRST_REST_MS: Final = 500
-MAX_REST_MS: Final = 8000
-TRUST_MS: Final = 2000
-HALF_LIFE_MS: Final = 5000
+HEADROOM_DIVISOR: Final = 8
+INITIAL_BACKOFF_MS: Final = 500
+MAX_BACKOFF_MS: Final = 8000
+FULL_CONFIDENCE_MS: Final = 2000
+CONFIDENCE_HALF_LIFE_MS: Final = 5000
 HALF: Final = 0.5
 
 
@@ -39,22 +39,23 @@
         self.prompt_tokens = 0
         self.is_leaving = False
         self._learned_ms = 0.0
-        self._rest_until_ms = 0.0
-        self._rest_ms = 0
+        self._backoff_until_ms = 0.0
+        self._backoff_ms = 0
 
-    def may_take(
+    def can_accept(
         self,
         prompt_tokens: int,
         *,
         is_top_tier: bool,
         now: float,
     ) -> bool:
-        """Tell whether a request fits now.
+        """Return whether a request fits now.
 
-        Lower tiers leave a share free: otherwise a doorstep-urgent request
-        that comes while long answers hold every place waits for a whole one.
+        Requests below the top tier leave a share of the capacity free.
+        Otherwise an urgent request that arrives while long responses hold every
+        slot would wait for one of them to end.
         """
-        if self.is_leaving or now < self._rest_until_ms:
+        if self.is_leaving or now < self._backoff_until_ms:
             return False
         max_running = self.upstream.max_running
         max_prompt_tokens = self.upstream.max_prompt_tokens
@@ -67,18 +68,18 @@
             return True
         return self.prompt_tokens + prompt_tokens <= max_prompt_tokens
 
-    def trust(self, now: float) -> float:
-        """Tell how far the estimates hold, from 1 down, as they grow old.
+    def confidence(self, now: float) -> float:
+        """Return how reliable the estimates are, from 1 down as they age.
 
-        Refusals multiply by this. Where nothing is run because nothing seems
-        possible, nothing new is learned either, and an upstream that was slow
-        once would be refused for ever.
+        Estimates are multiplied by this before a request is refused. If no
+        request runs because none seems possible, nothing new is learned, and
+        requests would be refused for ever because the upstream was slow once.
         """
-        age_ms = max(now - self._learned_ms - TRUST_MS, 0)
-        return float(HALF ** (age_ms / HALF_LIFE_MS))
+        age_ms = max(now - self._learned_ms - FULL_CONFIDENCE_MS, 0)
+        return float(HALF ** (age_ms / CONFIDENCE_HALF_LIFE_MS))
 
     def service_ms(self, prompt_tokens: int, output_tokens: int) -> float:
-        """Estimate a run's duration behind what is being prefilled now."""
+        """Estimate a run's duration, including prompts prefilled before it."""
         return self.speed.service_ms(
             self.prompt_tokens + prompt_tokens,
             output_tokens,
@@ -105,7 +106,7 @@
         first_token_ms: float,
         now: float,
     ) -> None:
-        """Learn from a first token; the run's prompt is prefilled now."""
+        """Update the estimates from a first token, which ends the prefill."""
         run = self.runs.get(request_id)
         if run is None or not run.is_prefilling:
             return
@@ -128,15 +129,15 @@
         total_ms: float,
         now: float,
     ) -> Run:
-        """Take a run off and learn from how it ended.
+        """Remove a run and update the estimates by how it ended.
 
-        :raises KeyError: where there is no such run.
+        :raises KeyError: if there is no such run.
         """
         run = self.runs[request_id]
         self.remove(request_id)
         if end != RunEnd.ANSWERED:
             return run
-        self._rest_ms = 0
+        self._backoff_ms = 0
         self._learned_ms = now
         before_ms = run.first_token_ms
         if not before_ms:
@@ -144,29 +145,31 @@
         self.speed.learn_output(total_ms - before_ms, run.output_tokens)
         return run
 
-    def rest(self, now: float) -> None:
-        """Give no work for a while, twice as long each time it fails again.
+    def start_backoff(self, now: float) -> None:
+        """Accept no requests for a while, twice as long after each failure.
 
-        Without this every waiting request would try a dead upstream in turn,
-        each spending a connect timeout of its deadline.
+        Without this, every waiting request would try a dead upstream in turn
+        and spend a connect timeout of its deadline on it.
         """
-        if now < self._rest_until_ms:
+        if now < self._backoff_until_ms:
             return
-        self._rest_ms = min(max(self._rest_ms * 2, FIRST_REST_MS), MAX_REST_MS)
-        self._rest_until_ms = now + self._rest_ms
+        self._backoff_ms = min(
+            max(self._backoff_ms * 2, INITIAL_BACKOFF_MS), MAX_BACKOFF_MS
+        )
+        self._backoff_until_ms = now + self._backoff_ms
 
     def remove(self, request_id: str) -> None:
-        """Forget a run, if it is here, without learning from it."""
+        """Remove a run, if present, without updating the estimates."""
         run = self.runs.pop(request_id, None)
         if run is not None and run.is_prefilling:
             self.prompt_tokens -= run.prompt_tokens
 
     def drop_sender(self, sender: str) -> None:
-        """Forget the runs that came by a connection that has gone."""
+        """Remove the runs of a closed connection."""
         for request_id, run in tuple(self.runs.items()):
             if run.sender == sender:
                 self.remove(request_id)
 
 
 def _below_headroom(limit: int) -> int:
-    return max(limit - max(limit // HEADROOM_SHARE, 1), 1)
+    return max(limit - max(limit // HEADROOM_DIVISOR, 1), 1)
--- a/hornbeamdeck/scheduling/waiting_room.py
+++ b/hornbeamdeck/scheduling/waiting_room.py
@@ -1,45 +1,51 @@
-"""The order in which requests wait, and how long that will take.
+"""Wait queue of one service: its order and the expected waits.
 
-Load pattern: bursts of twice what the engines carry, for seconds. A request
-whose wait would pass its objective is better refused at its arrival than after
-it has waited in vain, and one that returns late must not make a fresh one late.
+Load pattern: bursts of twice what the engines can serve, lasting seconds. A
+request whose wait would exceed its objective is refused at arrival rather than
+after it has waited to no purpose. A caller that comes back late must not make a
+new request late.
 """
 
 from collections.abc import Iterator
 from typing import Final, NamedTuple, Self, TypeAlias
 
-from hornbeamdeck.scheduling.engine_choice import Chances
+from hornbeamdeck.scheduling.engine_choice import TimeBudget
 from hornbeamdeck.scheduling.forecast import Forecast
-from hornbeamdeck.scheduling.request_rank import FIRST, Rank, of_kind, rank_of
+from hornbeamdeck.scheduling.request_rank import (
+    RETRY_RANK,
+    Rank,
+    pick_by_route_rank,
+    rank_of,
+)
 from hornbeamdeck.scheduling.ticket import Ticket
 from hornbeamdeck.wire import Enqueue
 
-__all__ = ('WaitingRoom',)
+__all__ = ('WaitQueue',)
 
-# Time between grants is averaged over about so many of them.
+# Number of grants over which the time between grants is averaged.
 GRANTS_AVERAGED: Final = 20
-FIRST_INTERVAL_MS: Final = 15.0
-# A pause between grants longer than this says that nothing waited.
+INITIAL_INTERVAL_MS: Final = 15.0
+# A longer time between two grants means that no request was waiting.
 MAX_INTERVAL_MS: Final = 300.0
-# Part of its objective that a request may be expected to wait, by priority:
-# what is left over covers the error of the expectation.
-WAIT_SHARES: Final = (0.6, 0.4, 0.35)
-# How long a request may wait that is late anyway, by priority; after this it
-# hears that it won't be served, with time left for its caller's own ways.
-LATE_WAITS_MS: Final = (1500.0, 500.0, 300.0)
-# Each so many grants one goes to who must start first, whatever its priority,
-# so that a flood of urgent requests starves no one.
-EVEN_TURN: Final = 6
+# Share of its objective that a request may be expected to wait, by priority.
+# The remainder allows for errors of the estimate.
+MAX_WAIT_SHARES: Final = (0.6, 0.4, 0.35)
+# How long a request may wait once it can't meet its objective, by priority.
+# Then it is refused, which leaves the caller time for its own alternatives.
+MAX_LATE_WAITS_MS: Final = (1500.0, 500.0, 300.0)
+# One of this many grants goes to the request with the earliest start time,
+# whatever its priority, so that a flood of urgent requests starves no one.
+FAIR_TURN_GRANTS: Final = 6
 
 
 _OrderKey: TypeAlias = tuple[Rank, float]
 
 
-class _Place(NamedTuple):
+class _Entry(NamedTuple):
     """A waiting request.
 
-    :param start_ms: when it must start to be on time.
-    :param objective_ms: when its answer is late.
+    :param start_ms: when it must start to meet its objective.
+    :param objective_ms: when its response is late.
     :param key_on_time: sort key up to `start_ms`.
     :param key_late: sort key after `start_ms`.
     """
@@ -57,10 +63,10 @@
         start_ms: float,
         objective_ms: float,
     ) -> Self:
-        """Compute the sort keys: second tries, then rank, then urgency."""
+        """Compute the sort keys: retries first, then by rank and start time."""
         request = ticket.request
         if request.excluded:
-            key = (FIRST, start_ms)
+            key = (RETRY_RANK, start_ms)
             return cls(ticket, start_ms, objective_ms, key, key)
         on_time = (rank_of(request, is_late=False), start_ms)
         late = (rank_of(request, is_late=True), start_ms)
@@ -71,137 +77,144 @@
         return self.key_late if self.start_ms < now else self.key_on_time
 
 
-class WaitingRoom:
-    """Waiting requests by the moment at which each must start."""
+class WaitQueue:
+    """Waiting requests, ordered by rank and by when each must start."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self.interval_ms = FIRST_INTERVAL_MS
-        self._places: dict[str, _Place] = {}
+        self.interval_ms = INITIAL_INTERVAL_MS
+        self._entries: dict[str, _Entry] = {}
         self._granted_ms = 0.0
         self._grants = 0
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
-        return len(self._places)
+        """Return the number of waiting requests."""
+        return len(self._entries)
 
     def push(self, ticket: Ticket, now: float, fastest_ms: float) -> None:
         """Add a request.
 
-        :param fastest_ms: least time to its first token, once started.
+        :param fastest_ms: shortest expected time to its first token, once
+            started.
         """
         request = ticket.request
         objective_ms = now + _objective_ms(request)
         start_ms = objective_ms - fastest_ms
         if not request.excluded:
-            end_ms = max(objective_ms, now) + of_kind(LATE_WAITS_MS, request)
+            end_ms = max(objective_ms, now) + pick_by_route_rank(
+                MAX_LATE_WAITS_MS, request
+            )
             end_ms = min(ticket.deadline_ms, end_ms)
             ticket = ticket._replace(deadline_ms=end_ms)
-        place = _Place.from_ticket(ticket, start_ms, objective_ms)
-        self._places[request.request_id] = place
+        entry = _Entry.from_ticket(ticket, start_ms, objective_ms)
+        self._entries[request.request_id] = entry
 
     def remove(self, request_id: str) -> Ticket | None:
-        """Take out a request, if it waits here."""
-        place = self._places.pop(request_id, None)
-        return place.ticket if place else None
+        """Remove a request and return its ticket, if it waits here."""
+        entry = self._entries.pop(request_id, None)
+        return entry.ticket if entry else None
 
-    def sent_by(self, sender: str) -> list[str]:
-        """Name the requests that came by one connection."""
+    def ids_from_sender(self, sender: str) -> list[str]:
+        """Return the ids of the requests that were received on a connection."""
         return [
             request_id
-            for request_id, place in self._places.items()
-            if place.ticket.sender == sender
+            for request_id, entry in self._entries.items()
+            if entry.ticket.sender == sender
         ]
 
     def in_order(self, now: float) -> Iterator[Ticket]:
-        """Walk over what waits, in the order in which it is to start."""
-        if self._grants % EVEN_TURN:
+        """Iterate over the waiting requests in the order of their start."""
+        if self._grants % FAIR_TURN_GRANTS:
             ordered = self._ordered(now)
         else:
             ordered = sorted(
-                self._places.values(),
-                key=lambda place: (place.start_ms < now, place.start_ms),
+                self._entries.values(),
+                key=lambda entry: (entry.start_ms < now, entry.start_ms),
             )
-        return (place.ticket for place in ordered)
+        return (entry.ticket for entry in ordered)
 
-    def chances(self, request_id: str, now: float) -> Chances:
-        """Tell how much time a waiting request has."""
-        place = self._places[request_id]
-        return Chances(place.objective_ms - now, place.start_ms - now)
+    def time_budget(self, request_id: str, now: float) -> TimeBudget:
+        """Return how much time a waiting request has left."""
+        entry = self._entries[request_id]
+        return TimeBudget(entry.objective_ms - now, entry.start_ms - now)
 
     def expired(self, now: float, forecast: Forecast) -> list[Ticket]:
-        """Take out what nobody waits for any more, or in vain."""
-        over = [
-            place
-            for place in self._places.values()
-            if place.ticket.deadline_ms < now
+        """Remove requests past their deadline or expected to start after it."""
+        past_deadline = [
+            entry
+            for entry in self._entries.values()
+            if entry.ticket.deadline_ms < now
         ]
-        in_vain = self._in_vain(now, forecast)
-        return self._remove_all([place.ticket for place in over + in_vain])
+        forecast_expired = self._forecast_expired(now, forecast)
+        return self._remove_all(
+            [entry.ticket for entry in past_deadline + forecast_expired]
+        )
 
     def start(self, request_id: str, now: float) -> None:
-        """Take out a request that starts; learn how fast places come free."""
-        self._places.pop(request_id)
-        passed_ms = now - self._granted_ms
+        """Remove a request that starts and update the time between grants."""
+        self._entries.pop(request_id)
+        elapsed_ms = now - self._granted_ms
         self._granted_ms = now
         self._grants += 1
-        if passed_ms < MAX_INTERVAL_MS:
-            change_ms = (passed_ms - self.interval_ms) / GRANTS_AVERAGED
+        if elapsed_ms < MAX_INTERVAL_MS:
+            change_ms = (elapsed_ms - self.interval_ms) / GRANTS_AVERAGED
             self.interval_ms += change_ms
 
     def drain_ms(self) -> float:
-        """Expect how long it takes until all that waits has started."""
-        return len(self._places) * self.interval_ms
+        """Estimate the time until all waiting requests have started."""
+        return len(self._entries) * self.interval_ms
 
-    def is_worth(
+    def can_start_in_time(
         self,
         request: Enqueue,
         fastest_ms: float,
         forecast: Forecast,
         now: float,
     ) -> bool:
-        """Whether a request that must wait can start in time."""
+        """Return whether a new request is expected to start in time."""
         start_ms = now + _objective_ms(request) - fastest_ms
         rank = rank_of(request, is_late=start_ms < now)
-        own = (rank, start_ms)
-        allowed_ms = self.allowed_ms(request, fastest_ms)
-        ahead = sum(place.order(now) <= own for place in self._places.values())
-        return forecast.start_in_ms(ahead) <= allowed_ms
+        own_key = (rank, start_ms)
+        max_wait_ms = self.max_wait_ms(request, fastest_ms)
+        ahead = sum(
+            entry.order(now) <= own_key for entry in self._entries.values()
+        )
+        return forecast.start_in_ms(ahead) <= max_wait_ms
 
-    def allowed_ms(self, request: Enqueue, fastest_ms: float) -> float:
-        """Tell how long a request that comes now may be expected to wait."""
+    def max_wait_ms(self, request: Enqueue, fastest_ms: float) -> float:
+        """Return the longest expected wait at which a request is admitted."""
         slack_ms = _objective_ms(request) - fastest_ms
         if slack_ms < 0:
-            return of_kind(LATE_WAITS_MS, request)
-        return slack_ms * of_kind(WAIT_SHARES, request)
+            return pick_by_route_rank(MAX_LATE_WAITS_MS, request)
+        return slack_ms * pick_by_route_rank(MAX_WAIT_SHARES, request)
 
-    def _ordered(self, now: float) -> list[_Place]:
+    def _ordered(self, now: float) -> list[_Entry]:
         return sorted(
-            self._places.values(),
-            key=lambda place: place.order(now),
+            self._entries.values(),
+            key=lambda entry: entry.order(now),
         )
 
-    def _in_vain(self, now: float, forecast: Forecast) -> list[_Place]:
-        """Find what won't start before its wait ends.
+    def _forecast_expired(self, now: float, forecast: Forecast) -> list[_Entry]:
+        """Find requests that are not expected to start before their deadline.
 
-        More urgent requests that came later have overtaken it. Its caller
-        hears so at once and has the more time left to come back; and what
-        waits behind it moves up.
+        More urgent requests that arrived later have overtaken them. An early
+        refusal leaves the caller more time to come back, and the requests
+        behind move up.
         """
         ahead = 0
-        in_vain = []
-        for place in self._ordered(now):
-            if place.ticket.deadline_ms < now or place.ticket.request.excluded:
+        forecast_expired = []
+        for entry in self._ordered(now):
+            if entry.ticket.deadline_ms < now or entry.ticket.request.excluded:
                 continue
-            if now + forecast.start_in_ms(ahead) > place.ticket.deadline_ms:
-                in_vain.append(place)
+            if now + forecast.start_in_ms(ahead) > entry.ticket.deadline_ms:
+                forecast_expired.append(entry)
             else:
                 ahead += 1
-        return in_vain
+        return forecast_expired
 
     def _remove_all(self, tickets: list[Ticket]) -> list[Ticket]:
         for ticket in tickets:
-            self._places.pop(ticket.request.request_id)
+            self._entries.pop(ticket.request.request_id)
         return tickets
 
 
--- a/tests/scheduling/test_engine_cell.py
+++ b/tests/scheduling/test_engine_cell.py
@@ -8,7 +8,7 @@
 from hornbeamdeck.scheduling.cell_door import Shared
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
-from hornbeamdeck.scheduling.waiting_room import WaitingRoom
+from hornbeamdeck.scheduling.waiting_room import WaitQueue
 from hornbeamdeck.wire import Progress, RefusalReason, Register, Release, RunEnd
 from tests.scheduling.routed import (
     MODEL,
@@ -224,7 +224,7 @@
     desk = cell(engine('e1', slots=8))
     load = desk.loads['e1']
     load.slowness = 4.0
-    before_ms = load.pause_ms(40_000, 0)
+    before_ms = load.gap_ms(40_000, 0)
     now = 0.0
     for number in range(12):
         stream, long = f'stream-{number}', f'long-{number}'
@@ -241,7 +241,7 @@
         desk.release(_release(long, RunEnd.ANSWERED), now + 4000)
         now += 10_000
     load.slowness = 4.0
-    assert load.pause_ms(40_000, now) < before_ms / 3
+    assert load.gap_ms(40_000, now) < before_ms / 3
 
 
 def _first_token(desk: EngineCell, request_id: str, now: float) -> None:
@@ -296,7 +296,7 @@
         desk.release(_release(f'r{number}', RunEnd.FAILED), 10)
     offer(desk, ask('next'), now=20)
     assert granted(desk, 20) == [('next', 'good')]
-    assert desk.loads['grey'].health.failing('z1', 30_000) < 0.01
+    assert desk.loads['grey'].health.failure_rate('z1', 30_000) < 0.01
 
 
 def test_a_fault_seen_from_one_zone_counts_for_that_zone() -> None:
@@ -304,8 +304,8 @@
     offer(desk, ask('r1', zone='z2'))
     granted(desk)
     desk.release(_release('r1', RunEnd.NOT_DISPATCHED), 10)
-    assert desk.loads['e1'].health.is_resting('z2', 20)
-    assert not desk.loads['e1'].health.is_resting('z1', 20)
+    assert desk.loads['e1'].health.is_in_backoff('z2', 20)
+    assert not desk.loads['e1'].health.is_in_backoff('z1', 20)
 
 
 def test_a_new_incarnation_inherits_nothing() -> None:
@@ -406,7 +406,7 @@
             _release(f'again-{number}', RunEnd.NOT_DISPATCHED),
             number,
         )
-    desk.suspicions.note_answered('good')
+    desk.suspicions.record_answer('good')
     refused = offer(desk, ask('bad-9', fingerprint='bad'), now=9)
     assert _reason(refused) == RefusalReason.CULPRIT
     assert offer(desk, ask('good-9', fingerprint='good'), now=9) is None
@@ -507,13 +507,13 @@
         offer(desk, ask(f'r{number}', output_tokens=20, objective_ms=9000))
     granted(desk)
     looks = []
-    look = WaitingRoom.expired
+    look = WaitQueue.expired
 
     def _counted(*asked: Any) -> Any:
         looks.append(asked)
         return look(*asked)
 
-    monkeypatch.setattr(WaitingRoom, 'expired', _counted)
+    monkeypatch.setattr(WaitQueue, 'expired', _counted)
     for tenth_ms in range(200):
         list(desk.expire(tenth_ms / 10))
     assert len(looks) == 1
@@ -525,7 +525,7 @@
     requests would be refused behind them for ever.
     """
     desk = _limited_desk()
-    teams = desk._door._shared.teams
+    teams = desk._admission._shared.teams
     offer(desk, ask('gone', quota_tokens=15_000))
     guides = teams.pop('guides')
     desk.withdraw('gone')
--- a/tests/scheduling/test_engine_choice.py
+++ b/tests/scheduling/test_engine_choice.py
@@ -19,7 +19,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a request refused the engines that are not tried yet."""
-    monkeypatch.setattr(engine_choice, 'LOOKED_AT', 2)
+    monkeypatch.setattr(engine_choice, 'SHORTLIST_SIZE', 2)
     many = cell(*(engine(f'e{number}') for number in range(4)))
     many.loads['e3'].slowness = 2.0
     offer(many, ask('r1', excluded=['e0', 'e1', 'e2']))
--- a/tests/scheduling/test_load_replay.py
+++ b/tests/scheduling/test_load_replay.py
@@ -7,7 +7,7 @@
 from hornbeamdeck.scheduling import engine_choice
 from hornbeamdeck.scheduling.engine_load import EngineLoad
 from hornbeamdeck.scheduling.ticket import Ticket
-from hornbeamdeck.scheduling.waiting_room import WaitingRoom
+from hornbeamdeck.scheduling.waiting_room import WaitQueue
 
 LOAD = LoadPlan.from_name('bursts_and_losses')
 SEED = 1
@@ -53,14 +53,14 @@
     assert served['check'] > served['write_up'] / 4
 
 
-def test_what_waits_in_vain_is_not_held(
+def test_what_waits_forecast_expired_is_not_held(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """In the same burst, what urgent requests have overtaken would be held to
     the end of its wait, and refused all the same.
     """
     prompt = _replayed()
-    monkeypatch.setattr(WaitingRoom, '_in_vain', lambda *_judged: [])
+    monkeypatch.setattr(WaitQueue, '_forecast_expired', lambda *_judged: [])
     held = _replayed()
     assert prompt['cost'] < held['cost']
 
@@ -91,12 +91,12 @@
     """Guards against owner overload when a quarter of the engines crash."""
     plan = LoadPlan.from_name('large_fleet')
     checked: list[str] = []
-    may_go_to = engine_choice._may_go_to
+    is_eligible = engine_choice._is_eligible
 
     def _count(load: EngineLoad, ticket: Ticket, now: float) -> bool:
         checked.append(load.engine.name)
-        return may_go_to(load, ticket, now)
+        return is_eligible(load, ticket, now)
 
-    monkeypatch.setattr(engine_choice, '_may_go_to', _count)
+    monkeypatch.setattr(engine_choice, '_is_eligible', _count)
     outcomes = Replay(plan, SEED).run()
     assert len(checked) < MAX_CHECKS_PER_REQUEST * len(outcomes)
--- a/tests/scheduling/test_retry_budget.py
+++ b/tests/scheduling/test_retry_budget.py
@@ -22,9 +22,9 @@
     for passed_ms, is_try in events:
         now += passed_ms
         if not is_try:
-            budget.note_request(now)
+            budget.record_request(now)
             requests.append(now)
-        elif budget.take(now):
+        elif budget.try_take(now):
             tries.append(now)
     for end in tries:
         in_window = [each for each in tries if end - 2000 < each <= end]
@@ -34,5 +34,5 @@
 
 def test_the_budget_comes_back() -> None:
     budget = RetryBudget(ratio=0, slack=4, window_ms=1000)
-    assert [budget.take(0) for _ in range(3)] == [True, True, False]
-    assert budget.take(1500)
+    assert [budget.try_take(0) for _ in range(3)] == [True, True, False]
+    assert budget.try_take(1500)
--- a/tests/scheduling/test_suspicion.py
+++ b/tests/scheduling/test_suspicion.py
@@ -36,7 +36,9 @@
             each for each in together if suspicions.crashes(each, now)
         } <= {POISON}
         for fingerprint in together:
-            suspicions.note_break(f'u{upstream}', fingerprint, together, now)
+            suspicions.record_failure(
+                f'u{upstream}', fingerprint, together, now
+            )
         if alone:
             guilty = [
                 each
--- a/tests/scheduling/test_token_quota.py
+++ b/tests/scheduling/test_token_quota.py
@@ -22,7 +22,7 @@
     now = 0
     for wait_ms, tokens in spendings:
         now += wait_ms
-        if limits.take(guides, tokens, now):
+        if limits.spend(guides, tokens, now):
             taken.append((now, tokens))
     for start, _ in taken:
         window = [each for at, each in taken if start <= at < start + 8000]
@@ -34,11 +34,11 @@
 def test_nothing_is_refused_below_the_limit() -> None:
     limits = quotas()
     for second in range(60):
-        assert limits.take(team(), 1000, second * 1000)
+        assert limits.spend(team(), 1000, second * 1000)
 
 
 def test_a_team_without_a_rate_has_no_limit() -> None:
-    assert quotas().take(team(rate=0), 10**9, 0)
+    assert quotas().spend(team(rate=0), 10**9, 0)
 
 
 def test_what_waits_is_not_counted_before_it_starts() -> None:
@@ -47,18 +47,18 @@
     """
     limits = quotas()
     need = Need(1000, 0, 500)
-    limits.wait('guides', need)
-    limits.stop_waiting('guides', need)
-    assert limits.take(team(), 1000, 0)
+    limits.add_waiting('guides', need)
+    limits.remove_waiting('guides', need)
+    assert limits.spend(team(), 1000, 0)
 
 
 def test_the_time_to_come_back_is_when_there_is_room() -> None:
     limits = quotas()
-    limits.take(team(), 1000, 0)
-    assert not limits.take(team(), 500, 100)
+    limits.spend(team(), 1000, 0)
+    assert not limits.spend(team(), 500, 100)
     wait_ms = limits.retry_after_ms(team(), Need(500, 0))
-    assert not limits.take(team(), 500, 100 + wait_ms - 10)
-    assert limits.take(team(), 500, 100 + wait_ms)
+    assert not limits.spend(team(), 500, 100 + wait_ms - 10)
+    assert limits.spend(team(), 500, 100 + wait_ms)
 
 
 def test_a_request_larger_than_the_bucket_passes_a_full_one() -> None:
@@ -66,9 +66,9 @@
     could never be served; it passes, and the team waits for it afterwards.
     """
     limits = quotas()
-    assert limits.take(team(), 5000, 0)
-    assert not limits.take(team(), 1, 3900)
-    assert limits.take(team(), 1, 4100)
+    assert limits.spend(team(), 5000, 0)
+    assert not limits.spend(team(), 1, 3900)
+    assert limits.spend(team(), 1, 4100)
 
 
 def test_after_a_restart_of_all_the_window_still_holds() -> None:
@@ -78,21 +78,21 @@
     """
     before = quotas()
     spent = sum(
-        100 * before.take(team(), 100, number * 10) for number in range(500)
+        100 * before.spend(team(), 100, number * 10) for number in range(500)
     )
     after = quotas(is_remembered=False, is_first_start=False)
     spent += sum(
-        100 * after.take(team(), 100, 6000 + number * 10)
+        100 * after.spend(team(), 100, 6000 + number * 10)
         for number in range(200)
     )
     assert spent <= 9000
-    assert after.take(team(), 900, 9000)
+    assert after.spend(team(), 900, 9000)
 
 
 def test_a_new_owner_counts_what_is_reported() -> None:
     limits = quotas(spent=8600, is_first_start=False)
-    assert limits.take(team(), 400, 0)
-    assert not limits.take(team(), 400, 10)
+    assert limits.spend(team(), 400, 0)
+    assert not limits.spend(team(), 400, 10)
 
 
 def test_two_halves_of_a_cut_fleet_spend_the_limit_once() -> None:
@@ -101,7 +101,7 @@
     """
     sides = [quotas(share=0.7), quotas(share=0.3)]
     spent = sum(
-        100 * side.take(team(), 100, number * 10)
+        100 * side.spend(team(), 100, number * 10)
         for number in range(200)
         for side in sides
     )
@@ -113,15 +113,15 @@
     away, its caller would return once, late, and meet the same.
     """
     limits = quotas()
-    assert limits.take(team(), 1000, 0)
+    assert limits.spend(team(), 1000, 0)
     assert limits.may_wait(team(), Need(100, 0, 200), 0)
     assert not limits.may_wait(team(), Need(300, 0, 200), 0)
 
 
 def test_what_waits_already_counts_for_who_comes_next() -> None:
     limits = quotas()
-    assert limits.take(team(), 1000, 0)
-    limits.wait('guides', Need(150, 1))
+    assert limits.spend(team(), 1000, 0)
+    limits.add_waiting('guides', Need(150, 1))
     assert not limits.may_wait(team(), Need(100, 1, 200), 0)
     assert limits.may_wait(team(), Need(100, 0, 200), 0)
 
@@ -131,7 +131,7 @@
     nothing of it; behind the prompts each would be refused.
     """
     limits = quotas()
-    assert limits.take(team(), 800, 0)
-    limits.wait('guides', Need(5000, 0))
+    assert limits.spend(team(), 800, 0)
+    limits.add_waiting('guides', Need(5000, 0))
     assert limits.may_wait(team(), Need(100, 2, 40), 0)
-    assert limits.take(team(), 100, 0)
+    assert limits.spend(team(), 100, 0)
