--- a/tests/scheduling/routed.py
+++ b/tests/scheduling/routed.py
@@ -1,4 +1,4 @@
-"""Makes what tests of engine cells need."""
+"""Factories for tests of engine cells."""
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.process.engine_directory import Engine
@@ -17,14 +17,14 @@
 PLAIN = EngineTraits(slots=0, tokens_per_event=0, memory_tokens=0)
 
 
-async def async_ignore(_message: Message) -> None:
-    """Deliver to nobody."""
+async def async_discard(_message: Message) -> None:
+    """Discard a message."""
 
 
 def engine(
     name: str, *, slots: int = 2, zone: str = 'z1', **changes: object
 ) -> Engine:
-    """Make an engine of the service `desk`."""
+    """Create an engine of the service `desk`."""
     made = Engine(
         name=name,
         service='desk',
@@ -37,10 +37,10 @@
     return made._replace(**changes)  # type: ignore[arg-type]
 
 
-def team(
+def make_team(
     name: str = 'guides', *, rate: float = 1000, burst: float = 1000
 ) -> RoutedTeam:
-    """Make a team with a limit in tokens."""
+    """Create a team with a token limit."""
     return RoutedTeam(
         name=name,
         priority=None,
@@ -50,7 +50,7 @@
     )
 
 
-def quotas(
+def make_quotas(
     *,
     spent: int = 0,
     is_remembered: bool = True,
@@ -58,7 +58,7 @@
     is_first_start: bool = True,
     slack: float = 0,
 ) -> TokenQuotas:
-    """Make limits as an owner sees them."""
+    """Create the token limits of an owner."""
     return TokenQuotas(
         QuotaView(
             spent=lambda _team: spent,
@@ -70,18 +70,18 @@
     )
 
 
-def cell(*engines: Engine, traits: EngineTraits = MODEL) -> EngineCell:
-    """Make a cell with engines and no limits of teams."""
+def make_cell(*engines: Engine, traits: EngineTraits = MODEL) -> EngineCell:
+    """Create a cell with engines and without team limits."""
     made = EngineCell(
-        Shared(quotas=quotas(), teams={}),
+        Shared(quotas=make_quotas(), teams={}),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
     made.adopt(engines, traits, {})
     return made
 
 
-def ask(request_id: str, **changes: object) -> Enqueue:
-    """Make a request for the service `desk`."""
+def make_request(request_id: str, **changes: object) -> Enqueue:
+    """Create a request for the service `desk`."""
     fields: dict[str, object] = {
         'request_id': request_id,
         'cell': 'desk',
@@ -103,13 +103,13 @@
     return Enqueue(**fields)
 
 
-def offer(to: EngineCell, request: Enqueue, now: float = 0) -> object:
-    """Offer a request; gives the refusal, if any."""
-    return to.offer(request, sender='s', deliver=async_ignore, now=now)
+def enqueue(to: EngineCell, request: Enqueue, now: float = 0) -> object:
+    """Enqueue a request and return its refusal, if any."""
+    return to.offer(request, sender='s', deliver=async_discard, now=now)
 
 
 def granted(by: EngineCell, now: float = 0) -> list[tuple[str, str]]:
-    """List what is granted now: request and engine."""
+    """Return the current grants as pairs of request id and engine."""
     return [
         (grant.ticket.request.request_id, grant.upstream)
         for grant in by.grants(now)
--- a/tests/scheduling/test_cell.py
+++ b/tests/scheduling/test_cell.py
@@ -1,4 +1,4 @@
-"""Which request a cell's owner runs next, and where."""
+"""Order and placement of requests in a cell of upstreams."""
 
 from typing import Any
 
@@ -21,12 +21,12 @@
 MAX_RUNNING = 4
 
 
-async def _async_nowhere(_message: Message) -> None:
-    """Deliver to nobody."""
+async def _async_discard(_message: Message) -> None:
+    """Discard a message."""
 
 
 def make_cell(*names: str, max_prompt_tokens: int = 1000) -> Cell:
-    """Make a cell with these upstreams."""
+    """Create a cell with upstreams of these names."""
     cell = Cell()
     upstreams = tuple(
         Upstream(
@@ -43,8 +43,8 @@
     return cell
 
 
-def enqueue(name: str, **changes: Any) -> Enqueue:
-    """Make a request to queue."""
+def make_request(name: str, **changes: Any) -> Enqueue:
+    """Create a request."""
     fields = {
         'request_id': name,
         'cell': 'desk',
@@ -59,17 +59,17 @@
     return Enqueue(**fields)
 
 
-def offer(cell: Cell, request: Enqueue, now: float = 0) -> Any:
-    """Offer a request and give its refusal, if any."""
-    return cell.offer(request, sender='s', deliver=_async_nowhere, now=now)
+def enqueue(cell: Cell, request: Enqueue, now: float = 0) -> Any:
+    """Enqueue a request and return its refusal, if any."""
+    return cell.offer(request, sender='s', deliver=_async_discard, now=now)
 
 
-def granted(cell: Cell, now: float = 0) -> list[str]:
-    """Give the ids granted now."""
+def granted_ids(cell: Cell, now: float = 0) -> list[str]:
+    """Return the ids of the requests that are granted now."""
     return [each.ticket.request.request_id for each in cell.grants(now)]
 
 
-def end(cell: Cell, name: str, how: RunEnd = RunEnd.ANSWERED) -> None:
+def end_run(cell: Cell, name: str, how: RunEnd = RunEnd.ANSWERED) -> None:
     """End a run after 100 ms."""
     progress = Progress(request_id=name, cell='desk', first_token_ms=20)
     cell.progress(progress, now=0)
@@ -88,8 +88,10 @@
 ) -> None:
     cell = make_cell('a', 'b')
     for number, (rank, tokens) in enumerate(requests):
-        asked = enqueue(f'r{number}', tier_rank=rank, prompt_tokens=tokens)
-        offer(cell, asked)
+        request = make_request(
+            f'r{number}', tier_rank=rank, prompt_tokens=tokens
+        )
+        enqueue(cell, request)
     order: list[int] = []
     for _ in requests:
         now_granted = list(cell.grants(0))
@@ -99,60 +101,64 @@
             if len(load.runs) > 1:
                 assert load.prompt_tokens <= 1000
         for each in now_granted:
-            end(cell, each.ticket.request.request_id, RunEnd.CANCELLED)
+            end_run(cell, each.ticket.request.request_id, RunEnd.CANCELLED)
     assert not len(cell)
     assert order == sorted(order)
     assert all(load.prompt_tokens == 0 for load in cell.loads.values())
 
 
 def test_lower_tiers_leave_headroom() -> None:
-    """Long write-ups fill every place just before a guide asks about the cap
-    in her hand. One place is kept free of them, so she need not wait.
+    """Guards against low tiers that take every slot. An urgent request that
+    arrives next would wait for the end of a long response, so one slot stays
+    free for the top tier.
     """
     cell = make_cell('a')
     for number in range(MAX_RUNNING):
-        offer(cell, enqueue(f'long{number}', tier_rank=2))
-    assert len(granted(cell)) == MAX_RUNNING - 1
-    offer(cell, enqueue('urgent'))
-    assert granted(cell) == ['urgent']
+        enqueue(cell, make_request(f'long{number}', tier_rank=2))
+    assert len(granted_ids(cell)) == MAX_RUNNING - 1
+    enqueue(cell, make_request('urgent'))
+    assert granted_ids(cell) == ['urgent']
 
 
 def test_long_prompts_do_not_pile_up_on_one_engine() -> None:
-    """Two window lists of a whole hotel reach one engine at once. The second
-    waits here, not in the engine before everybody else's first token.
+    """Guards against two long prompts on one engine at once. The second waits
+    in the cell, not in the engine, where it would delay the first token of all
+    others.
     """
     cell = make_cell('a')
-    offer(cell, enqueue('first', prompt_tokens=900))
-    offer(cell, enqueue('second', prompt_tokens=900))
-    assert granted(cell) == ['first']
+    enqueue(cell, make_request('first', prompt_tokens=900))
+    enqueue(cell, make_request('second', prompt_tokens=900))
+    assert granted_ids(cell) == ['first']
     cell.progress(
         Progress(request_id='first', cell='desk', first_token_ms=500),
         now=0,
     )
-    assert granted(cell) == ['second']
+    assert granted_ids(cell) == ['second']
 
 
-def test_hopeless_request_is_refused_at_once() -> None:
-    """A quotation that would be done long after the homeowner has left is
-    refused when it comes, before its prompt costs an engine anything.
+def test_request_that_would_be_late_is_refused_at_once() -> None:
+    """Guards against prefilling a prompt whose response would come after its
+    deadline. Such a request is refused at arrival.
     """
     cell = make_cell('a')
-    offer(cell, enqueue('past'))
-    granted(cell)
-    end(cell, 'past')
-    refused = offer(cell, enqueue('late', output_tokens=500, deadline_ms=50))
+    enqueue(cell, make_request('past'))
+    granted_ids(cell)
+    end_run(cell, 'past')
+    refused = enqueue(
+        cell, make_request('late', output_tokens=500, deadline_ms=50)
+    )
     assert refused.refusal.reason == RefusalReason.DEADLINE
     assert len(cell) == 0
 
 
-def test_waiting_request_is_refused_when_its_time_is_up() -> None:
-    """All places are held by long answers. A request that waits is told as
-    soon as it can no longer be answered in time, not at its deadline.
+def test_waiting_request_is_refused_when_it_would_be_late() -> None:
+    """Long responses hold all slots. A waiting request is refused as soon as it
+    can no longer be answered in time, not only at its deadline.
     """
     cell = make_cell('a')
-    offer(cell, enqueue('past'))
-    granted(cell)
-    end(cell, 'past')
+    enqueue(cell, make_request('past'))
+    granted_ids(cell)
+    end_run(cell, 'past')
     for number in range(MAX_RUNNING):
         cell.register(
             Register(
@@ -166,51 +172,51 @@
             ),
             'other',
         )
-    assert offer(cell, enqueue('waits', deadline_ms=1000)) is None
-    assert granted(cell) == []
+    assert enqueue(cell, make_request('waits', deadline_ms=1000)) is None
+    assert granted_ids(cell) == []
     assert not list(cell.expire(800))
-    given_up = list(cell.expire(950))
-    assert [each.ticket.request.request_id for each in given_up] == ['waits']
+    expired = list(cell.expire(950))
+    assert [each.ticket.request.request_id for each in expired] == ['waits']
 
 
-def test_dead_upstream_rests() -> None:
-    """An engine has died and refuses connections. After the first failed
-    connect it gets nothing for a while, so that not every waiting guide's
-    request spends its time on trying it.
+def test_dead_upstream_is_in_backoff() -> None:
+    """An upstream has died and refuses connections. After the first failed
+    connection it gets no requests for a while, or each waiting request would
+    spend its time on trying it.
     """
     cell = make_cell('a', 'b')
-    offer(cell, enqueue('first'))
+    enqueue(cell, make_request('first'))
     first = next(iter(cell.grants(0)))
-    end(cell, 'first', RunEnd.NOT_DISPATCHED)
+    end_run(cell, 'first', RunEnd.NOT_DISPATCHED)
     for number in range(3):
-        offer(cell, enqueue(f'next{number}'))
-    places = {each.upstream for each in cell.grants(1)}
-    assert places == {'a', 'b'} - {first.upstream}
+        enqueue(cell, make_request(f'next{number}'))
+    upstreams_used = {each.upstream for each in cell.grants(1)}
+    assert upstreams_used == {'a', 'b'} - {first.upstream}
 
 
-def test_gone_connection_takes_its_requests_along() -> None:
-    """An ingress instance dies. What it had asked for must neither hold places
-    nor be granted to nobody.
+def test_closed_connection_removes_its_requests() -> None:
+    """An ingress instance dies. Its requests must not keep slots and must not
+    be granted.
     """
     cell = make_cell('a')
     for number in range(MAX_RUNNING + 2):
-        offer(cell, enqueue(f'r{number}'))
-    granted(cell)
+        enqueue(cell, make_request(f'r{number}'))
+    granted_ids(cell)
     cell.drop_sender('s')
     assert len(cell) == 0
     assert not cell.loads['a'].runs
     assert cell.loads['a'].prompt_tokens == 0
 
 
-def test_recovered_engine_is_tried_again() -> None:
-    """An engine was slow for a while, so that guides' requests with short
-    deadlines are refused as hopeless. With nothing run there is nothing to
-    learn from: unless old times are trusted less and less, the guides would
-    be refused for ever, long after the engine has recovered.
+def test_recovered_upstream_is_tried_again() -> None:
+    """An upstream was slow for a while, so requests with short deadlines are
+    refused. Without runs nothing new is learned. Unless old estimates lose
+    weight with time, such requests would be refused for ever after it has
+    recovered.
     """
     cell = make_cell('a')
-    offer(cell, enqueue('slow'))
-    granted(cell)
+    enqueue(cell, make_request('slow'))
+    granted_ids(cell)
     cell.release(
         Release(
             request_id='slow',
@@ -220,7 +226,10 @@
         ),
         now=0,
     )
-    refused = offer(cell, enqueue('soon', deadline_ms=3000), now=100)
+    refused = enqueue(cell, make_request('soon', deadline_ms=3000), now=100)
     assert refused.refusal.reason == RefusalReason.DEADLINE
-    assert offer(cell, enqueue('later', deadline_ms=3000), now=30_000) is None
-    assert granted(cell, now=30_000) == ['later']
+    assert (
+        enqueue(cell, make_request('later', deadline_ms=3000), now=30_000)
+        is None
+    )
+    assert granted_ids(cell, now=30_000) == ['later']
--- a/tests/scheduling/test_crash_watch.py
+++ b/tests/scheduling/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Whom a crash is held against."""
+"""Attribution of engine crashes to requests."""
 
 from hornbeamdeck.scheduling.crash_watch import (
     POISON_CRASHES,
@@ -7,7 +7,7 @@
 )
 
 
-def test_only_what_broke_with_the_engine_is_blamed() -> None:
+def test_only_runs_that_failed_with_the_engine_are_suspected() -> None:
     watch = CrashWatch()
     watch.record_failed_run('e1', 'long-ago', 0)
     watch.record_failed_run('e1', 'beside', 9000)
@@ -19,8 +19,9 @@
 
 
 def test_one_crash_is_counted_once() -> None:
-    """Ten connections are refused after one crash. Counted each, the requests
-    beside it would be refused as if they had crashed ten engines.
+    """Ten connections are refused after one crash. If each counted, the
+    requests that ran on the engine would be refused as if they had crashed ten
+    engines.
     """
     watch = CrashWatch()
     watch.record_failed_run('e1', 'beside', 0)
@@ -29,9 +30,10 @@
     assert watch.crashes('beside', 100) == 1
 
 
-def test_what_another_owner_knew_is_kept() -> None:
-    """An owner dies that knew of two crashes. Forgotten, the request that
-    caused them would get three more engines from each next owner.
+def test_crashes_counted_by_another_owner_are_kept() -> None:
+    """An owner that has counted two crashes dies. If the count were lost, the
+    request that caused them would crash three more engines under each next
+    owner.
     """
     watch = CrashWatch()
     watch.note('bad', 2, 0)
@@ -43,7 +45,7 @@
     assert watch.is_culprit('bad', 40)
 
 
-def test_who_is_answered_was_innocent() -> None:
+def test_an_answered_request_is_cleared() -> None:
     watch = CrashWatch()
     watch.note('good', 2, 0)
     watch.record_answer('good')
--- a/tests/scheduling/test_engine_cell_states.py
+++ b/tests/scheduling/test_engine_cell_states.py
@@ -1,11 +1,17 @@
-"""A cell under any mix of requests, ends, losses and changes of engines."""
+"""Invariants of a cell under random requests, run ends and engine changes."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from hornbeamdeck.scheduling.cell import Refused
 from hornbeamdeck.wire import Release, RunEnd
-from tests.scheduling.routed import MODEL, ask, async_ignore, cell, engine
+from tests.scheduling.routed import (
+    MODEL,
+    async_discard,
+    engine,
+    make_cell,
+    make_request,
+)
 
 SLOTS = 1
 ENDS = st.sampled_from(list(RunEnd))
@@ -14,14 +20,16 @@
 
 
 class CellStates(RuleBasedStateMachine):
-    """Each request ends in one way only, and no engine is overfilled."""
+    """Checks that each request ends in one way and no engine is overfilled."""
 
     def __init__(self) -> None:
-        """Start with two engines and nothing asked."""
+        """Start with two engines and no requests."""
         super().__init__()
         self.now = 0.0
         self.count = 0
-        self.cell = cell(engine('e1', slots=SLOTS), engine('e2', slots=SLOTS))
+        self.cell = make_cell(
+            engine('e1', slots=SLOTS), engine('e2', slots=SLOTS)
+        )
         self.waiting: dict[str, str] = {}
         self.running: dict[str, str] = {}
 
@@ -32,7 +40,7 @@
         sender=st.sampled_from(SENDERS),
         excluded=st.lists(st.sampled_from(NAMES), max_size=2),
     )
-    def ask_for_one(
+    def enqueue_one(
         self,
         rank: int,
         prompt: int,
@@ -40,10 +48,10 @@
         sender: str,
         excluded: list[str],
     ) -> None:
-        """Offer a request."""
+        """Enqueue a request."""
         self.count += 1
         request_id = f'r{self.count}'
-        request = ask(
+        request = make_request(
             request_id,
             tier_rank=rank,
             prompt_tokens=prompt,
@@ -54,15 +62,15 @@
         refused = self.cell.offer(
             request,
             sender=sender,
-            deliver=async_ignore,
+            deliver=async_discard,
             now=self.now,
         )
         if refused is None:
             self.waiting[request_id] = sender
 
     @rule(passed_ms=st.integers(1, 2000))
-    def let_time_pass(self, passed_ms: int) -> None:
-        """Move on, give up what is over and grant what fits."""
+    def advance_time(self, passed_ms: int) -> None:
+        """Advance the time, expire requests and grant what fits."""
         self.now += passed_ms
         for refused in self.cell.expire(self.now):
             assert isinstance(refused, Refused)
@@ -88,8 +96,8 @@
         self.cell.release(release, self.now)
 
     @rule(sender=st.sampled_from(SENDERS))
-    def lose(self, sender: str) -> None:
-        """Lose an ingress with all that it asked for."""
+    def lose_ingress(self, sender: str) -> None:
+        """Close the connection of an ingress with all its requests."""
         self.cell.drop_sender(sender)
         for held in (self.waiting, self.running):
             gone = [key for key, owner in held.items() if owner == sender]
@@ -98,22 +106,22 @@
 
     @rule(
         names=st.sets(st.sampled_from(NAMES)),
-        leaving=st.sampled_from(NAMES),
+        draining=st.sampled_from(NAMES),
         born_ms=st.integers(1, 2),
     )
     def change_engines(
         self,
         names: set[str],
-        leaving: str,
+        draining: str,
         born_ms: int,
     ) -> None:
-        """Adopt another list of engines."""
+        """Apply another list of engines."""
         self.cell.adopt(
             [
                 engine(
                     name,
                     slots=SLOTS,
-                    is_leaving=name == leaving,
+                    is_leaving=name == draining,
                     born_ms=born_ms,
                 )
                 for name in names
@@ -124,18 +132,18 @@
 
     @invariant()
     def no_engine_is_overfilled(self) -> None:
-        """Hold the slots of every engine."""
+        """Check that no engine runs more requests than it has slots."""
         for load in self.cell.loads.values():
             assert len(load.runs) <= SLOTS
 
     @invariant()
-    def what_waits_is_what_was_let_in(self) -> None:
-        """Lose no request and hold none twice."""
+    def waiting_requests_are_those_admitted(self) -> None:
+        """Check that no request is lost or queued twice."""
         assert len(self.cell) == len(self.waiting)
 
     @invariant()
-    def only_running_requests_hold_places(self) -> None:
-        """Keep no place for a run that has ended."""
+    def only_running_requests_hold_slots(self) -> None:
+        """Check that no slot is held by a run that has ended."""
         for load in self.cell.loads.values():
             assert load.runs.keys() <= self.running.keys()
 
--- a/tests/scheduling/test_engine_choice.py
+++ b/tests/scheduling/test_engine_choice.py
@@ -1,26 +1,34 @@
-"""Which engine is chosen of many."""
+"""Choice among many engines."""
 
 import pytest
 
 from hornbeamdeck.scheduling import engine_choice
-from tests.scheduling.routed import ask, cell, engine, granted, offer
+from tests.scheduling.routed import (
+    engine,
+    enqueue,
+    granted,
+    make_cell,
+    make_request,
+)
 
 
-def test_the_best_of_many_engines_is_found_by_the_first_look() -> None:
-    """Guards against a first look that leaves the quickest engine out."""
-    many = cell(*(engine(f'e{number}') for number in range(100)))
+def test_the_shortlist_contains_the_best_engine() -> None:
+    """Guards against a shortlist that leaves the fastest engine out."""
+    many = make_cell(*(engine(f'e{number}') for number in range(100)))
     for name, load in many.loads.items():
         load.slowness = 1.0 if name == 'e77' else 3.0
-    offer(many, ask('r1'))
+    enqueue(many, make_request('r1'))
     assert granted(many) == [('r1', 'e77')]
 
 
-def test_where_the_first_look_fits_nothing_all_engines_are_looked_at(
+def test_all_engines_are_tried_if_none_on_the_shortlist_fits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a request refused the engines that are not tried yet."""
+    """Guards against holding a request although an engine that is not on the
+    shortlist could run it.
+    """
     monkeypatch.setattr(engine_choice, 'SHORTLIST_SIZE', 2)
-    many = cell(*(engine(f'e{number}') for number in range(4)))
+    many = make_cell(*(engine(f'e{number}') for number in range(4)))
     many.loads['e3'].slowness = 2.0
-    offer(many, ask('r1', excluded=['e0', 'e1', 'e2']))
+    enqueue(many, make_request('r1', excluded=['e0', 'e1', 'e2']))
     assert granted(many) == [('r1', 'e3')]
--- a/tests/scheduling/test_estimate.py
+++ b/tests/scheduling/test_estimate.py
@@ -1,4 +1,4 @@
-"""What is learned of an upstream's speed."""
+"""Estimates of an upstream's speed."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 @given(LENGTHS, st.floats(0, 100), st.floats(0, 5))
-def test_a_line_is_found(
+def test_a_linear_function_is_learned(
     lengths: list[int],
     base_ms: float,
     slope: float,
@@ -26,10 +26,9 @@
     assert abs(fit.time_ms(3000) - expected) <= 0.01 + expected / 1000
 
 
-def test_short_prompts_do_not_make_long_ones_hopeless() -> None:
-    """All morning guides send prompts of a few words, each answered after the
-    20 ms that an engine takes for anything. A long window list that comes then
-    must not be refused because of what 5,000 times that time would be.
+def test_short_prompts_do_not_inflate_the_estimate_of_long_ones() -> None:
+    """Many prompts of a few words are each answered after a fixed 20 ms. A long
+    prompt must not be refused because it is estimated at 5,000 times that time.
     """
     speed = SpeedEstimate()
     for _ in range(100):
@@ -38,8 +37,8 @@
 
 
 def test_a_slowdown_is_learned() -> None:
-    """An engine drops to a fifth of its speed. Within some tens of answers
-    its estimate follows, so that urgent work goes elsewhere.
+    """An upstream drops to a fifth of its speed. The estimate follows within a
+    few dozen responses, so that urgent requests go elsewhere.
     """
     speed = SpeedEstimate()
     for tokens in range(10, 60):
--- a/tests/scheduling/test_load_replay.py
+++ b/tests/scheduling/test_load_replay.py
@@ -1,4 +1,4 @@
-"""Decisions of a cell under replayed load, in model time."""
+"""Decisions of a cell under replayed load, in simulated time."""
 
 import pytest
 
@@ -11,9 +11,9 @@
 
 LOAD = LoadPlan.from_name('bursts_and_losses')
 SEED = 1
-# Share of worth that engines picked by first token alone earn in this burst
-# with no order among the routes.
-WITHOUT_ORDER = 0.7256
+# Share of the value that is earned in this burst if engines are chosen by the
+# time to first token alone and routes are not ordered.
+SHARE_WITHOUT_ROUTE_ORDER = 0.7256
 
 
 def _replayed(*, has_route_ranks: bool = True) -> dict[str, float]:
@@ -27,14 +27,15 @@
     }
 
 
-def test_a_replay_has_one_outcome() -> None:
+def test_a_replay_is_deterministic() -> None:
     assert _replayed() == _replayed()
 
 
-def test_urgent_kinds_keep_their_answers_in_a_burst() -> None:
-    """All kinds press at twice what the engines carry, two engines crash, and
-    all teams have one priority. Ordered by that alone, write-ups that a guide
-    waits for are refused as often as checks.
+def test_urgent_requests_are_served_in_a_burst() -> None:
+    """All kinds of requests arrive at twice the rate that the engines can
+    serve, two engines crash, and all teams have one priority. If that priority
+    alone decided the order, urgent write-ups would be refused as often as
+    checks.
     """
     flat = _replayed(has_route_ranks=False)
     ordered = _replayed()
@@ -43,21 +44,21 @@
     assert ordered['write_up'] > ordered['question']
     assert ordered['question'] > ordered['check']
     assert ordered['mean'] > flat['mean']
-    assert ordered['mean'] > WITHOUT_ORDER + 0.05
+    assert ordered['mean'] > SHARE_WITHOUT_ROUTE_ORDER + 0.05
     assert ordered['worst'] > flat['worst'] + 0.1
 
 
-def test_even_then_no_kind_is_starved() -> None:
+def test_no_kind_is_starved_in_a_burst() -> None:
     """The lowest priority is served at a quarter of the rate of the first."""
     served = _replayed()
     assert served['check'] > served['write_up'] / 4
 
 
-def test_what_waits_forecast_expired_is_not_held(
+def test_requests_that_can_not_start_in_time_are_not_held(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In the same burst, what urgent requests have overtaken would be held to
-    the end of its wait, and refused all the same.
+    """Requests that more urgent ones have overtaken in the same burst would be
+    held until their deadline and then refused all the same.
     """
     prompt = _replayed()
     monkeypatch.setattr(WaitQueue, '_forecast_expired', lambda *_judged: [])
@@ -65,19 +66,20 @@
     assert prompt['cost'] < held['cost']
 
 
-# What the users are promised of a day: so much of its worth on time.
-AIM = 0.88
+# Share of a day's value that the users are promised on time.
+MIN_SHARE_ON_TIME = 0.88
 
 
-def test_long_prompts_are_on_time_where_engines_have_places() -> None:
-    """Long prompts come among many streams, and engines could carry all. Kept
-    off every engine that has streams until they are late, or sent to an idle
-    one that is several times too slow, a quarter of the longest would be late.
+def test_long_prompts_are_on_time_where_engines_have_slots() -> None:
+    """Long prompts arrive among many streams, and the engines could serve all.
+    If prompts avoided every engine with streams until they are late, or were
+    sent to an idle engine that is several times too slow, a quarter of the
+    longest would be late.
     """
     plan = LoadPlan.from_name('long_prompts')
     shares = summarize(Replay(plan, SEED).run())['shares']
-    assert shares['largest write_up'] > AIM
-    assert min(shares.values()) > AIM
+    assert shares['largest write_up'] > MIN_SHARE_ON_TIME
+    assert min(shares.values()) > MIN_SHARE_ON_TIME
 
 
 # Budget of the owner: 60 % of a core, or 1.4 ms for each of 427 requests a
@@ -85,7 +87,7 @@
 MAX_CHECKS_PER_REQUEST = 234
 
 
-def test_unusable_places_do_not_overload_the_owner(
+def test_unusable_slots_do_not_overload_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against owner overload when a quarter of the engines crash."""
--- a/tests/scheduling/test_output_estimate.py
+++ b/tests/scheduling/test_output_estimate.py
@@ -1,9 +1,9 @@
-"""What is learned of the time that answers take."""
+"""Estimate of the output time of responses."""
 
 from hornbeamdeck.scheduling.output_estimate import OutputEstimate
 
 
-def test_an_engine_that_makes_tokens_four_times_as_slowly_is_learned() -> None:
+def test_token_times_four_times_as_long_are_learned() -> None:
     output = OutputEstimate()
     true_ms = output.token_ms * 4
     for _ in range(200):
@@ -11,7 +11,7 @@
     assert abs(output.token_ms - true_ms) < true_ms / 10
 
 
-def test_one_answer_of_another_length_changes_little() -> None:
+def test_one_response_of_another_length_changes_little() -> None:
     output = OutputEstimate()
     before_ms = output.token_ms
     output.learn_tokens(before_ms * 500, 1)
--- a/tests/scheduling/test_retry_budget.py
+++ b/tests/scheduling/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's budget of second tries."""
+"""Budget of retries for the whole fleet."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,27 +12,29 @@
 
 
 @given(EVENTS)
-def test_no_window_holds_more_tries_than_allowed(
+def test_no_window_holds_more_retries_than_allowed(
     events: list[tuple[int, bool]],
 ) -> None:
     budget = RetryBudget(ratio=0.2, slack=10, window_ms=2000)
-    tries: list[int] = []
+    retries: list[int] = []
     requests: list[int] = []
     now = 0
-    for passed_ms, is_try in events:
+    for passed_ms, is_retry in events:
         now += passed_ms
-        if not is_try:
+        if not is_retry:
             budget.record_request(now)
             requests.append(now)
         elif budget.try_take(now):
-            tries.append(now)
-    for end in tries:
-        in_window = [each for each in tries if end - 2000 < each <= end]
-        asked = [each for each in requests if end - 4000 < each <= end]
-        assert len(in_window) <= 0.2 * len(asked) + 10
+            retries.append(now)
+    for end in retries:
+        in_window = [each for each in retries if end - 2000 < each <= end]
+        counted_requests = [
+            each for each in requests if end - 4000 < each <= end
+        ]
+        assert len(in_window) <= 0.2 * len(counted_requests) + 10
 
 
-def test_the_budget_comes_back() -> None:
+def test_the_budget_refills() -> None:
     budget = RetryBudget(ratio=0, slack=4, window_ms=1000)
     assert [budget.try_take(0) for _ in range(3)] == [True, True, False]
     assert budget.try_take(1500)
--- a/tests/scheduling/test_suspicion.py
+++ b/tests/scheduling/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Requests that upstreams die of."""
+"""Requests that crash upstreams."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,13 @@
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.scheduling.suspicion import Suspicions
 from hornbeamdeck.wire import RunEnd
-from tests.scheduling.test_cell import end, enqueue, granted, make_cell, offer
+from tests.scheduling.test_cell import (
+    end_run,
+    enqueue,
+    granted_ids,
+    make_cell,
+    make_request,
+)
 from tests.support import desk_entry, on_fleet
 
 Crash = tuple[int, set[int]]
@@ -21,51 +27,53 @@
 
 
 @given(CRASHES)
-def test_only_one_sent_again_alone_is_found_guilty(
+def test_only_a_sole_suspect_is_confirmed(
     crashes: list[Crash],
 ) -> None:
-    """Whatever runs beside the culprit when upstreams die, no request is
-    refused that was not the only suspect there at a second crash.
+    """Guards against refusing a harmless request. Whatever runs next to the
+    poison request when upstreams fail, only a request that was the sole suspect
+    at a second crash is refused.
     """
     suspicions = Suspicions()
     now = 0.0
     for upstream, others in crashes:
         now += 10_000
-        together = [POISON, *(f'r{each}' for each in sorted(others))]
+        concurrent = [POISON, *(f'r{each}' for each in sorted(others))]
         alone = {
-            each for each in together if suspicions.crashes(each, now)
+            each for each in concurrent if suspicions.crashes(each, now)
         } <= {POISON}
-        for fingerprint in together:
+        for fingerprint in concurrent:
             suspicions.record_failure(
-                f'u{upstream}', fingerprint, together, now
+                f'u{upstream}', fingerprint, concurrent, now
             )
         if alone:
-            guilty = [
+            confirmed = [
                 each
-                for each in together
+                for each in concurrent
                 if suspicions.is_culprit(each, now) and each != POISON
             ]
-            assert not guilty
-        for innocent in others:
-            suspicions.clear(f'r{innocent}')
+            assert not confirmed
+        for other in others:
+            suspicions.clear(f'r{other}')
 
 
-def test_suspects_run_one_at_a_time() -> None:
-    """Two requests were on an engine when it died. Run together again, they
-    would take the next engine along and still nobody could tell which it is.
+def test_suspected_requests_run_one_at_a_time() -> None:
+    """Two requests were running on an upstream when it crashed. If they ran
+    together again, they could crash the next one, and the cause would still be
+    unknown.
     """
     cell = make_cell('a', 'b')
     for name in ('x', 'y'):
-        offer(cell, enqueue(name))
-    assert len(granted(cell)) == 2
+        enqueue(cell, make_request(name))
+    assert len(granted_ids(cell)) == 2
     for name in ('x', 'y'):
-        end(cell, name, RunEnd.FAILED)
+        end_run(cell, name, RunEnd.FAILED)
     for again in ('x', 'y'):
-        offer(cell, enqueue(f'{again}2', fingerprint=again))
-    first = granted(cell)
+        enqueue(cell, make_request(f'{again}2', fingerprint=again))
+    first = granted_ids(cell)
     assert len(first) == 1
-    end(cell, first[0], RunEnd.ANSWERED)
-    assert len(granted(cell)) == 1
+    end_run(cell, first[0], RunEnd.ANSWERED)
+    assert len(granted_ids(cell)) == 1
 
 
 async def _async_send(fleet: Fleet, number: int) -> CallRecord:
@@ -93,9 +101,9 @@
 async def test_request_sent_twenty_times_costs_two_engines(
     fleet: Fleet,
 ) -> None:
-    """A guide's app sends a request again each time that it fails, and engines
-    die of this very request. Two engines may be lost to it; then it is
-    refused, and everybody else is served by those that are left.
+    """A caller retries a request each time it fails, and the request crashes
+    engines. It may cost two engines. Then it is refused, and the remaining
+    engines serve everyone else.
     """
     _poison(fleet)
     records = [await _async_send(fleet, number) for number in range(20)]
@@ -109,18 +117,18 @@
 
 @on_fleet(FLEET)
 async def test_suspicion_outlives_the_owner(fleet: Fleet) -> None:
-    """An engine dies of a request and then the instance dies that knew which
-    request it was. The next owner must not begin to count from nothing.
+    """A request crashes an engine, and then the owner that suspects the request
+    dies. The next owner must not start counting from zero.
     """
     _poison(fleet)
     owner = fleet.owner_of('desk')
-    asked = [each for each in fleet.instances if each is not owner]
+    others = [each for each in fleet.instances if each is not owner]
     await _async_send(
-        fleet._replace(instances=asked),
+        fleet._replace(instances=others),
         0,
     )
     await owner.async_kill()
-    remaining = fleet._replace(instances=asked)
+    remaining = fleet._replace(instances=others)
     for number in range(1, 10):
         await _async_send(remaining, number)
     assert _crashed(fleet) == 2
--- a/tests/scheduling/test_tier_queue.py
+++ b/tests/scheduling/test_tier_queue.py
@@ -1,4 +1,4 @@
-"""The order within a tier."""
+"""Order of requests within a tier."""
 
 from collections import Counter
 
@@ -12,12 +12,12 @@
 TEAMS = ('guides', 'families', 'sales')
 
 
-async def _async_nowhere(_message: Message) -> None:
-    """Deliver to nobody."""
+async def _async_discard(_message: Message) -> None:
+    """Discard a message."""
 
 
 def ticket(name: str, team: str, tokens: int, deadline_ms: float) -> Ticket:
-    """Make a ticket."""
+    """Create a ticket."""
     request = Enqueue(
         request_id=name,
         cell='desk',
@@ -28,7 +28,7 @@
         output_tokens=0,
         fingerprint=name,
     )
-    return Ticket(request, 'sender', _async_nowhere, deadline_ms, tokens)
+    return Ticket(request, 'sender', _async_discard, deadline_ms, tokens)
 
 
 STEPS = st.lists(
@@ -46,7 +46,7 @@
 
 
 @given(STEPS)
-def test_nothing_is_lost_or_given_twice(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+def test_no_request_is_lost_or_served_twice(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     queue = TierQueue()
     waiting: dict[str, Ticket] = {}
     for number, step in enumerate(steps):
@@ -55,20 +55,20 @@
             queue.push(pushed)
             waiting[f'r{number}'] = pushed
         elif waiting:
-            taken = _take(queue, step[0])
-            assert waiting.pop(taken.request.request_id) is taken
+            removed = _remove_one(queue, step[0])
+            assert waiting.pop(removed.request.request_id) is removed
         assert len(queue) == len(waiting)
         assert {each.request.request_id for each in queue} == set(waiting)
         expected = sum(each.service_ms for each in waiting.values())
         assert abs(queue.service_ms - expected) < 0.001
 
 
-def _take(queue: TierQueue, how: str) -> Ticket:
-    if how == 'displace':
+def _remove_one(queue: TierQueue, action: str) -> Ticket:
+    if action == 'displace':
         newest = queue.newest_of_largest_team()
         return queue.remove(newest.request.request_id)
     following = queue.next_ticket().request.request_id
-    if how == 'serve':
+    if action == 'serve':
         return queue.serve(following, 1)
     return queue.remove(following)
 
@@ -78,14 +78,14 @@
     queue = TierQueue()
     for number, deadline_ms in enumerate(deadlines):
         queue.push(ticket(f'r{number}', 'guides', 10, deadline_ms))
-    served = [_take(queue, 'serve').deadline_ms for _ in deadlines]
+    served = [_remove_one(queue, 'serve').deadline_ms for _ in deadlines]
     assert served == sorted(deadlines)
 
 
 @given(st.lists(st.integers(1, 300), min_size=40, max_size=60))
 def test_teams_share_by_tokens(sizes: list[int]) -> None:
-    """One team floods a tier with requests. The other team of the tier, with
-    as much to do, must still get half of the tokens served.
+    """One team floods a tier with requests. The other team of the tier, with as
+    much to do, must still get half of the tokens served.
     """
     queue = TierQueue()
     for number, tokens in enumerate(sizes):
@@ -94,21 +94,21 @@
             queue.push(ticket(f'b{number}-{copy}', 'sales', tokens, number))
     served: Counter[str] = Counter()
     while served['guides'] + served['sales'] < sum(sizes):
-        taken = _take(queue, 'serve')
-        served[taken.request.team] += taken.cost_tokens
+        removed = _remove_one(queue, 'serve')
+        served[removed.request.team] += removed.cost_tokens
     assert abs(served['guides'] - served['sales']) <= 2 * max(sizes)
 
 
-def test_idle_team_saves_up_no_turns() -> None:
-    """A team stays idle through a busy morning and then sends a hundred
-    requests. Were its unused turns kept, everybody else would stand still.
+def test_idle_team_accumulates_no_turns() -> None:
+    """A team is idle for a long time and then sends a hundred requests. If its
+    unused turns were kept, all other teams would be blocked.
     """
     queue = TierQueue()
     for number in range(100):
         queue.push(ticket(f'a{number}', 'guides', 10, number))
     for _ in range(50):
-        _take(queue, 'serve')
+        _remove_one(queue, 'serve')
     for late in range(100):
         queue.push(ticket(f'b{late}', 'sales', 10, late))
-    turns = [_take(queue, 'serve').request.team for _ in range(20)]
+    turns = [_remove_one(queue, 'serve').request.team for _ in range(20)]
     assert 8 <= turns.count('guides') <= 12
