--- a/hornbeamdeck/scheduling/cell_door.py
+++ b/hornbeamdeck/scheduling/cell_door.py
@@ -42,13 +42,13 @@
     def __init__(
         self,
         shared: Shared,
-        budget: RetryBudget,
-        waiting: WaitQueue,
+        retry_budget: RetryBudget,
+        wait_queue: WaitQueue,
     ) -> None:
         """Set what admission depends on."""
         self._shared = shared
-        self._budget = budget
-        self._waiting = waiting
+        self._retry_budget = retry_budget
+        self._wait_queue = wait_queue
         self._retry_schedule = RetrySchedule()
         self._token_needs: dict[str, tuple[str, Need]] = {}
 
@@ -67,7 +67,7 @@
         """
         if request.excluded:
             return self._reason_to_refuse_retry(request, now)
-        self._budget.record_request(now)
+        self._retry_budget.record_request(now)
         # For a request that was refused before, the objective counts from that
         # refusal: its caller has been waiting for the first token since its
         # first attempt.
@@ -76,13 +76,13 @@
         )
         if waited_ms and request.objective_ms is not None:
             request.objective_ms -= int(waited_ms)
-        if not self._waiting.can_start_in_time(
+        if not self._wait_queue.can_start_in_time(
             request, fastest_ms, forecast, now
         ):
             return RefusalReason.OVERLOADED
         team = self._team_to_charge(request)
         if team is not None:
-            max_wait_ms = self._waiting.max_wait_ms(request, fastest_ms)
+            max_wait_ms = self._wait_queue.max_wait_ms(request, fastest_ms)
             need = _need_of(request, max_wait_ms)
             if not self._shared.quotas.may_wait(team, need, now):
                 return RefusalReason.TEAM_LIMIT
@@ -146,8 +146,8 @@
             return self._shared.quotas.retry_after_ms(team, need)
         return self._retry_schedule.assign(
             request.fingerprint,
-            self._waiting.drain_ms(),
-            self._waiting.interval_ms,
+            self._wait_queue.drain_ms(),
+            self._wait_queue.interval_ms,
             now,
         )
 
@@ -164,7 +164,7 @@
         retries = request.dispatches or 0
         if retries > MAX_RETRIES or len(request.excluded) > MAX_RETRIES:
             return RefusalReason.TOO_MANY_TRIES
-        if retries and not self._budget.try_take(now):
+        if retries and not self._retry_budget.try_take(now):
             return RefusalReason.TOO_MANY_TRIES
         return None
 
--- a/hornbeamdeck/scheduling/crash_watch.py
+++ b/hornbeamdeck/scheduling/crash_watch.py
@@ -16,8 +16,8 @@
 POISON_CRASHES: Final = 3
 # One crash fails runs and refuses connections within this time.
 SAME_CRASH_MS: Final = 2500
-MEMORY_MS: Final = 600_000
-MAX_REMEMBERED: Final = 2000
+RETENTION_MS: Final = 600_000
+MAX_TRACKED_REQUESTS: Final = 2000
 
 
 class _FailedRun(NamedTuple):
@@ -53,9 +53,9 @@
         """Apply the number of crashes that another owner has counted."""
         crash_count = max(crashes, self.crashes(fingerprint, now))
         self._crash_counts[fingerprint] = _CrashCount(
-            crash_count, now + MEMORY_MS
+            crash_count, now + RETENTION_MS
         )
-        if len(self._crash_counts) > MAX_REMEMBERED:
+        if len(self._crash_counts) > MAX_TRACKED_REQUESTS:
             self._crash_counts.pop(next(iter(self._crash_counts)))
 
     def record_answer(self, fingerprint: str) -> None:
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -53,20 +53,22 @@
 class EngineCell:
     """Queues the requests of one service and places them on its engines."""
 
-    def __init__(self, shared: Shared, budget: RetryBudget) -> None:
+    def __init__(self, shared: Shared, retry_budget: RetryBudget) -> None:
         """Start without engines; `adopt` adds them."""
         self.loads: dict[str, EngineLoad] = {}
         self.suspicions = CrashWatch()
-        self._waiting = WaitQueue()
+        self._wait_queue = WaitQueue()
         self._estimates = ServiceEstimates.initial()
         self._hold_reasons: dict[str, str] = {}
         self._last_expiry_check_ms = -math.inf
         self._placements = PlacementTracker()
-        self._admission = AdmissionControl(shared, budget, self._waiting)
+        self._admission = AdmissionControl(
+            shared, retry_budget, self._wait_queue
+        )
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
-        return len(self._waiting)
+        return len(self._wait_queue)
 
     def adopt(
         self,
@@ -115,7 +117,7 @@
         reason = self._reason_to_refuse(request, fastest_ms, now)
         if reason is not None:
             return self._refuse(ticket, reason, now)
-        self._waiting.push(ticket, now, fastest_ms)
+        self._wait_queue.push(ticket, now, fastest_ms)
         self._placements.record_arrival(request)
         return None
 
@@ -131,12 +133,12 @@
         engines.
         """
         if (
-            not len(self._waiting)
+            not len(self._wait_queue)
             or now - self._last_expiry_check_ms < EXPIRY_CHECK_INTERVAL_MS
         ):
             return
         self._last_expiry_check_ms = now
-        for ticket in self._waiting.expired(now, self._forecast(now)):
+        for ticket in self._wait_queue.expired(now, self._forecast(now)):
             self._admission.remove_waiting(ticket.request)
             yield self._refuse(ticket, RefusalReason.DEADLINE, now)
 
@@ -149,13 +151,13 @@
         """
         scan = self._placements.start_scan(
             self.loads.values(),
-            len(self._waiting),
+            len(self._wait_queue),
             now,
         )
         if not scan.free:
             return
         blocked: dict[str, int] = {}
-        for ticket in self._waiting.in_order(now):
+        for ticket in self._wait_queue.in_order(now):
             if not scan.free:
                 return
             granted = self._try_place(ticket, scan, blocked, now)
@@ -165,7 +167,7 @@
 
     def withdraw(self, request_id: str) -> None:
         """Remove a waiting request whose caller has disconnected."""
-        ticket = self._waiting.remove(request_id)
+        ticket = self._wait_queue.remove(request_id)
         self._hold_reasons.pop(request_id, None)
         if ticket is not None:
             self._admission.remove_waiting(ticket.request)
@@ -205,7 +207,7 @@
 
     def drop_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
-        for request_id in self._waiting.ids_from_sender(sender):
+        for request_id in self._wait_queue.ids_from_sender(sender):
             self.withdraw(request_id)
         for load in self.loads.values():
             load.drop_sender(sender)
@@ -233,8 +235,8 @@
                 for load in self.loads.values()
                 if not load.engine.is_leaving
             ],
-            len(self._waiting),
-            self._waiting.interval_ms,
+            len(self._wait_queue),
+            self._wait_queue.interval_ms,
             now,
         )
 
@@ -267,13 +269,13 @@
     ) -> Granted | None:
         """Start a request on an engine with a free slot, or hold it."""
         request_id = ticket.request.request_id
-        time_budget = self._waiting.time_budget(request_id, now)
+        time_budget = self._wait_queue.time_budget(request_id, now)
         choice = choose_engine(free, ticket, now, time_budget)
         load = choice.load
         if load is None:
             self._hold_reasons[request_id] = choice.hold_reason
             return None
-        self._waiting.start(request_id, now)
+        self._wait_queue.start(request_id, now)
         self._admission.start(ticket.request, now)
         _add_run(load, ticket, now)
         return Granted(
@@ -305,7 +307,7 @@
     def _facts(self, request: Enqueue, now: float) -> dict[str, object]:
         """Return what a refusal was based on, as log fields."""
         return {
-            'waiting': len(self._waiting),
+            'waiting': len(self._wait_queue),
             'engines': len(self.loads),
             'places': sum(load.has_free_slot() for load in self.loads.values()),
             'fastest_ms': int(_fastest_ms(self.loads.values(), request, now)),
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -161,7 +161,9 @@
             max(self._prefill_done_ms, now) + prefill_work_ms
         )
 
-    def first_token(self, request_id: str, took_ms: float, now: float) -> None:
+    def first_token(
+        self, request_id: str, elapsed_ms: float, now: float
+    ) -> None:
         """Update the estimates from a first token, which ends the prefill."""
         run = self.runs.get(request_id)
         if run is None or not run.is_prefilling:
@@ -176,7 +178,7 @@
             weight = run.expected_first_token_ms / (
                 run.expected_first_token_ms + SAMPLE_WEIGHT_MS
             )
-            observed = took_ms / run.expected_first_token_ms
+            observed = elapsed_ms / run.expected_first_token_ms
             slowness = self.slowness + weight * (observed - self.slowness)
             self.slowness = min(max(slowness, MIN_SLOWNESS), MAX_SLOWNESS)
         self._cap_backlog(now)
@@ -229,18 +231,18 @@
         if not self.traits.is_model:
             output.learn_call(now - run.started_ms)
         elif run.first_token_at_ms:
-            took_ms = (now - run.first_token_at_ms) / self.slowness
-            output.learn_tokens(took_ms, run.output_tokens)
+            elapsed_ms = (now - run.first_token_at_ms) / self.slowness
+            output.learn_tokens(elapsed_ms, run.output_tokens)
 
     def _cap_backlog(self, now: float) -> None:
         # The engine may be faster or slower than estimated. The remaining
         # prefill work is at most that of the runs without a first token.
-        left_ms = sum(
+        remaining_ms = sum(
             prefill_ms(run.prompt_tokens) * self.slowness
             for run in self.runs.values()
             if run.is_prefilling
         )
-        self._prefill_done_ms = min(self._prefill_done_ms, now + left_ms)
+        self._prefill_done_ms = min(self._prefill_done_ms, now + remaining_ms)
 
 
 def forecast_slots(
--- a/hornbeamdeck/scheduling/estimate.py
+++ b/hornbeamdeck/scheduling/estimate.py
@@ -28,13 +28,17 @@
         """Add a sample."""
         self._weight = self._weight * DECAY + 1
         share = 1 / self._weight
-        off_x = length - self._mean_x
-        off_y = time_ms - self._mean_y
-        self._mean_x += share * off_x
-        self._mean_y += share * off_y
-        kept = 1 - share
-        self._variance = kept * (self._variance + share * off_x * off_x)
-        self._covariance = kept * (self._covariance + share * off_x * off_y)
+        delta_x = length - self._mean_x
+        delta_y = time_ms - self._mean_y
+        self._mean_x += share * delta_x
+        self._mean_y += share * delta_y
+        remaining = 1 - share
+        self._variance = remaining * (
+            self._variance + share * delta_x * delta_x
+        )
+        self._covariance = remaining * (
+            self._covariance + share * delta_x * delta_y
+        )
 
     def time_ms(self, length: float) -> float:
         """Estimate the time for a length, in milliseconds."""
--- a/hornbeamdeck/scheduling/output_estimate.py
+++ b/hornbeamdeck/scheduling/output_estimate.py
@@ -31,11 +31,11 @@
         self.token_ms = INITIAL_TOKEN_MS
         self.call_ms = INITIAL_CALL_MS
 
-    def learn_tokens(self, took_ms: float, expected_tokens: int) -> None:
+    def learn_tokens(self, elapsed_ms: float, expected_tokens: int) -> None:
         """Add the observed output time of a response, at slowness 1."""
-        observed_ms = min(took_ms / max(expected_tokens, 1), MAX_TOKEN_MS)
+        observed_ms = min(elapsed_ms / max(expected_tokens, 1), MAX_TOKEN_MS)
         self.token_ms += LEARNING_RATE * (observed_ms - self.token_ms)
 
-    def learn_call(self, took_ms: float) -> None:
+    def learn_call(self, elapsed_ms: float) -> None:
         """Add the observed duration of a call without tokens."""
-        self.call_ms += LEARNING_RATE * (took_ms - self.call_ms)
+        self.call_ms += LEARNING_RATE * (elapsed_ms - self.call_ms)
--- a/hornbeamdeck/scheduling/pause_estimate.py
+++ b/hornbeamdeck/scheduling/pause_estimate.py
@@ -16,9 +16,9 @@
 PREFILL_TOKENS_PER_MS: Final = 60.0
 # Attention makes a prompt's cost grow with the square of its length;
 # milliseconds for a million pairs of tokens.
-PAIRS_MS_PER_MILLION: Final = 0.32
+MS_PER_MILLION_PAIRS: Final = 0.32
 MILLION: Final = 1_000_000.0
-STEP_MS: Final = 3.5
+BASE_STEP_MS: Final = 3.5
 # Initial chunk size: the default of common engines, in tokens.
 INITIAL_CHUNK_TOKENS: Final = 2048
 # Weight of one gap in the estimate: three long prompts that are prefilled next
@@ -39,7 +39,7 @@
 def prefill_ms(tokens: int) -> float:
     """Return the time in which an engine of slowness 1 prefills a prompt."""
     pairs = tokens * tokens / 2 / MILLION
-    return tokens / PREFILL_TOKENS_PER_MS + pairs * PAIRS_MS_PER_MILLION
+    return tokens / PREFILL_TOKENS_PER_MS + pairs * MS_PER_MILLION_PAIRS
 
 
 class GapEstimate:
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         """Start with the step of a common engine."""
-        self.step_ms = prefill_ms(INITIAL_CHUNK_TOKENS) + STEP_MS
+        self.step_ms = prefill_ms(INITIAL_CHUNK_TOKENS) + BASE_STEP_MS
 
     def gap_ms(self, prefill_work_ms: float, tokens_per_event: int) -> float:
         """Estimate the gap in a stream; times at slowness 1.
--- a/hornbeamdeck/scheduling/return_times.py
+++ b/hornbeamdeck/scheduling/return_times.py
@@ -25,7 +25,7 @@
 # A request with the same fingerprint that comes later than this after the
 # refusal counts as a new request.
 RETRY_WINDOW_MS: Final = 8000
-MAX_REMEMBERED: Final = 4000
+MAX_TRACKED_REQUESTS: Final = 4000
 
 
 class RetrySchedule:
@@ -50,7 +50,7 @@
         :param interval_ms: time between the starts of two requests.
         """
         self._refused[fingerprint] = now
-        if len(self._refused) > MAX_REMEMBERED:
+        if len(self._refused) > MAX_TRACKED_REQUESTS:
             self._refused.popitem(last=False)
         earliest_ms = now + max(drain_ms, MIN_RETRY_AFTER_MS)
         self._next_ms = max(self._next_ms, earliest_ms)
--- a/hornbeamdeck/scheduling/suspicion.py
+++ b/hornbeamdeck/scheduling/suspicion.py
@@ -15,7 +15,7 @@
 __all__ = ('POISON_CRASHES', 'Suspicions')
 
 POISON_CRASHES: Final = 2
-MEMORY_MS: Final = 600_000
+RETENTION_MS: Final = 600_000
 SAME_CRASH_MS: Final = 2000
 
 
@@ -77,7 +77,9 @@
     def note(self, fingerprint: str, crashes: int, now: float) -> None:
         """Apply the number of crashes that another owner has counted."""
         crash_count = max(crashes, self.crashes(fingerprint, now))
-        self._suspicions[fingerprint] = _Suspicion(crash_count, now + MEMORY_MS)
+        self._suspicions[fingerprint] = _Suspicion(
+            crash_count, now + RETENTION_MS
+        )
 
     def clear(self, fingerprint: str) -> None:
         """Clear a request, since it has been answered."""
--- a/hornbeamdeck/scheduling/token_quota.py
+++ b/hornbeamdeck/scheduling/token_quota.py
@@ -23,11 +23,11 @@
 # Share of the allowed slack that is used, so that a request at the exact limit
 # is not refused because the clocks of two machines differ. The remainder covers
 # the moment in which two owners grant.
-SLACK_SHARE: Final = 0.6
+USED_SLACK_SHARE: Final = 0.6
 # An owner that serves at least this share of the instances spends the whole
 # limit. An owner of a smaller part of a partitioned fleet spends only its own
 # share, which fits in the allowed overage.
-WHOLE_SHARE: Final = 0.8
+FULL_LIMIT_SHARE: Final = 0.8
 # Share of the used slack that may be spent at once, in addition to the team's
 # burst. The remainder refills the buckets a little faster than the team's rate.
 BURST_SHARE: Final = 0.3
@@ -198,10 +198,10 @@
 
     def _share(self) -> float:
         share = self._view.share()
-        return 1.0 if share >= WHOLE_SHARE else share
+        return 1.0 if share >= FULL_LIMIT_SHARE else share
 
     def _slack(self) -> float:
-        return self._rules.slack * SLACK_SHARE
+        return self._rules.slack * USED_SLACK_SHARE
 
     def _capacity(self, team: RoutedTeam) -> float:
         return (team.burst + self._slack() * BURST_SHARE) * self._share()
@@ -221,5 +221,5 @@
         if not self._view.is_remembered():
             return 0.0
         refill = self._per_ms(team) * self._rules.window_ms
-        left = capacity + refill - self._view.spent(team.name)
-        return min(capacity, left)
+        remaining = capacity + refill - self._view.spent(team.name)
+        return min(capacity, remaining)
--- a/hornbeamdeck/scheduling/upstream_load.py
+++ b/hornbeamdeck/scheduling/upstream_load.py
@@ -38,7 +38,7 @@
         self.runs: dict[str, Run] = {}
         self.prompt_tokens = 0
         self.is_leaving = False
-        self._learned_ms = 0.0
+        self._last_sample_ms = 0.0
         self._backoff_until_ms = 0.0
         self._backoff_ms = 0
 
@@ -75,7 +75,7 @@
         request runs because none seems possible, nothing new is learned, and
         requests would be refused for ever because the upstream was slow once.
         """
-        age_ms = max(now - self._learned_ms - FULL_CONFIDENCE_MS, 0)
+        age_ms = max(now - self._last_sample_ms - FULL_CONFIDENCE_MS, 0)
         return float(HALF ** (age_ms / CONFIDENCE_HALF_LIFE_MS))
 
     def service_ms(self, prompt_tokens: int, output_tokens: int) -> float:
@@ -110,7 +110,7 @@
         run = self.runs.get(request_id)
         if run is None or not run.is_prefilling:
             return
-        self._learned_ms = now
+        self._last_sample_ms = now
         self.speed.learn_first_token(first_token_ms, run.queued_tokens)
         self.prompt_tokens -= run.prompt_tokens
         self.runs[request_id] = run._replace(
@@ -138,7 +138,7 @@
         if end != RunEnd.ANSWERED:
             return run
         self._backoff_ms = 0
-        self._learned_ms = now
+        self._last_sample_ms = now
         before_ms = run.first_token_ms
         if not before_ms:
             before_ms = self.speed.first_token_ms(run.queued_tokens)
