--- a/hornbeamdeck/request/engine_link.py
+++ b/hornbeamdeck/request/engine_link.py
@@ -1,4 +1,4 @@
-"""The connection to an engine that one try of a request goes out on."""
+"""The connection to an engine that one attempt of a request uses."""
 
 from typing import Final
 
@@ -13,66 +13,69 @@
 
 __all__ = ('EngineLink',)
 
-# Engines are milliseconds away; a connection that takes longer has lost a
-# packet or leads to a dead machine, and another engine is quicker.
+# Engines are milliseconds away. If connecting takes longer, a packet was lost
+# or the machine is down, and another engine is quicker.
 CONNECT_TIMEOUT_MS: Final = 400
-# A request that a machine does not even acknowledge: a kept connection to one
-# that lost its power says nothing else. One lost packet is sent again within
-# 200 ms, a second time after 400 more.
-UNHEARD_MS: Final = 600
-# After these a whole answer has been read.
-_WHOLE: Final = frozenset((RunEnd.ANSWERED, RunEnd.ERRORED))
+# How long a machine may take to acknowledge a request. A pooled connection to a
+# machine that lost power shows no other sign of the failure. One lost packet is
+# resent within 200 ms, and a second time after 400 ms more.
+UNACKNOWLEDGED_MS: Final = 600
+# After these a complete response has been read.
+_COMPLETE: Final = frozenset((RunEnd.ANSWERED, RunEnd.ERRORED))
 
 
 class EngineLink:
-    """A connection that was kept, or a new one; kept again where it may be."""
+    """A pooled or new connection, returned to the pool where possible."""
 
-    def __init__(self, kept: KeptConnections, *, may_repeat: bool) -> None:
-        """Open nothing yet.
+    def __init__(self, pool: KeptConnections, *, may_repeat: bool) -> None:
+        """Initialize; no connection is opened yet.
 
-        :param may_repeat: whether the request may run twice; only then a kept
-            connection will do, since one may die as the request is written.
+        :param pool: the pool of idle connections.
+        :param may_repeat: whether the request may run twice. Only then is a
+            pooled connection used, since it may break as the request is
+            written.
         """
         self.connection: ClientConnection | None = None
-        self._kept = kept
+        self._pool = pool
         self._may_repeat = may_repeat
         self._engine = ''
-        self._was_kept = False
+        self._was_pooled = False
         self._idle_ms = 0.0
 
     async def async_open(
         self,
         grant: Grant,
     ) -> Result[ClientConnection, ConnectFailed]:
-        """Take or make a connection to the granted engine."""
+        """Take a connection to the granted engine from the pool or open one."""
         self._engine = grant.upstream
-        found = None
+        pooled = None
         if self._may_repeat:
-            found = await self._kept.async_take(grant.upstream)
-        self._was_kept = found is not None
-        if found is not None:
-            self.connection = found
-            return Ok(found)
-        # What may not repeat has nowhere else to go: its engine may still be
-        # heard when a cut has healed.
+            pooled = await self._pool.async_take(grant.upstream)
+        self._was_pooled = pooled is not None
+        if pooled is not None:
+            self.connection = pooled
+            return Ok(pooled)
+        # A request that may not run twice can't be sent to another engine. It
+        # gets no limit for the acknowledgement, because its engine may still
+        # respond once a network interruption has ended.
         opened = await ClientConnection.async_open(
             Address.from_text(grant.address),
             timeout_ms=CONNECT_TIMEOUT_MS,
-            unheard_ms=UNHEARD_MS if self._may_repeat else 0,
+            unheard_ms=UNACKNOWLEDGED_MS if self._may_repeat else 0,
         )
         if isinstance(opened, Ok):
             self.connection = opened.ok_value
         return opened
 
-    def note_head(self, head: HttpResponse) -> None:
-        """Note how long the engine will keep the connection."""
+    def record_keep_alive(self, head: HttpResponse) -> None:
+        """Record how long the engine will keep the connection open."""
         self._idle_ms = kept_for_ms(head.headers)
 
     async def async_close(self, end: RunEnd) -> None:
-        """Be done with the connection.
+        """Return the connection to the pool, or close it.
 
-        It is kept for another request where its answer is whole; else it is
-        closed, and the engine drops a run that has not ended.
+        It goes back to the pool if its response is complete. Otherwise it is
+        closed, and the engine cancels a run that has not ended.
 
         :param end: how the run ended.
         """
@@ -80,9 +83,9 @@
         self.connection = None
         if connection is None:
             return
-        if end in _WHOLE:
-            await self._kept.async_keep(self._engine, connection, self._idle_ms)
+        if end in _COMPLETE:
+            await self._pool.async_keep(self._engine, connection, self._idle_ms)
             return
         await connection.async_close()
-        if self._was_kept and end == RunEnd.FAILED:
-            await self._kept.async_drop(self._engine)
+        if self._was_pooled and end == RunEnd.FAILED:
+            await self._pool.async_drop(self._engine)
--- a/hornbeamdeck/request/event_feed.py
+++ b/hornbeamdeck/request/event_feed.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole ones."""
+"""Splits a stream of server-sent events into complete events."""
 
 import re
 from typing import Final, NamedTuple
@@ -6,14 +6,14 @@
 __all__ = ('Event', 'EventFeed')
 
 # A blank line ends an event, in any of the three line endings.
-_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_ID: Final = re.compile(rb'^id:[ ]?(.*?)\r?$', re.MULTILINE)
+_EVENT_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+_ID_FIELD: Final = re.compile(rb'^id:[ ]?(.*?)\r?$', re.MULTILINE)
 
 
 class Event(NamedTuple):
     """One event with the blank line that ends it.
 
-    :param name: its id; empty where it has none.
+    :param name: its id; empty if it has none.
     """
 
     name: str
@@ -21,34 +21,34 @@
 
 
 class EventFeed:
-    """Takes pieces of a body and gives whole events.
+    """Assembles complete events from pieces of a response body.
 
-    An engine that breaks may leave half an event. Passed on, the first event
-    of the engine that goes on would be joined to it.
+    An engine that fails may leave a partial event. If that were relayed, the
+    first event of the engine that continues the stream would be joined to it.
     """
 
     def __init__(self) -> None:
-        """Start with nothing received."""
+        """Initialize with nothing received."""
         self._pending = b''
 
     @property
-    def has_half(self) -> bool:
-        """Whether an event has begun and not ended."""
+    def has_partial_event(self) -> bool:
+        """Whether the stream so far ends within an event."""
         return bool(self._pending.strip())
 
     def feed(self, piece: bytes) -> list[Event]:
-        """Take in a piece; give the events that are whole now."""
+        """Add a piece and return the events that are complete now."""
         pending = self._pending + piece
         events = []
         start = 0
-        for end in _END.finditer(pending):
+        for end in _EVENT_END.finditer(pending):
             encoded = pending[start : end.end()]
             start = end.end()
-            events.append(Event(_name_of(encoded), encoded))
+            events.append(Event(_event_id(encoded), encoded))
         self._pending = pending[start:]
         return events
 
 
-def _name_of(encoded: bytes) -> str:
-    found = _ID.search(encoded)
+def _event_id(encoded: bytes) -> str:
+    found = _ID_FIELD.search(encoded)
     return found.group(1).decode('latin-1') if found else ''
--- a/hornbeamdeck/request/routed_admission.py
+++ b/hornbeamdeck/request/routed_admission.py
@@ -1,4 +1,4 @@
-"""Which route and team a routed request belongs to, checked before it waits."""
+"""Finds the route and the team of a routed request before it is queued."""
 
 import random
 from collections.abc import Callable
@@ -15,28 +15,29 @@
 from hornbeamdeck.version.routed import Route, RoutedConfiguration, RoutedTeam
 
 __all__ = (
-    'PATIENCE_GAPS',
+    'CLIENT_TIMEOUT_GAPS',
     'RoutedAdmission',
     'async_admit',
     'is_still_allowed',
 )
 
-# When a caller is to come back whose instance knows no configuration yet, or
-# can't prove that its own is current.
-UNCERTAIN_RETRY_MS: Final = 1000
-# Callers leave a stream that has not begun after the longest of these.
-LEAST_PATIENCE_MS: Final = 2000
-PATIENCE_OBJECTIVES: Final = 4
-PATIENCE_GAPS: Final = 8
-# What of that is kept for the way back to the caller.
-WAY_BACK_MS: Final = 150
+# Retry delay for callers of an instance that has no configuration yet, or that
+# can't confirm that its configuration is current.
+UNCONFIRMED_RETRY_MS: Final = 1000
+# Callers disconnect from a stream that has not begun after the longest of these
+# times: a minimum, a multiple of the objective and a multiple of the gap.
+MIN_CLIENT_TIMEOUT_MS: Final = 2000
+CLIENT_TIMEOUT_OBJECTIVES: Final = 4
+CLIENT_TIMEOUT_GAPS: Final = 8
+# Part of the client timeout reserved for the transfer back to the caller.
+RESPONSE_TRANSFER_MS: Final = 150
 
 
 class RoutedAdmission(NamedTuple):
-    """A request that may wait for an engine.
+    """A request that may be queued for an engine.
 
     :param arrived_ms: when it had been read, on this process's clock.
-    :param deadline_ms: when it must have its final answer, the same.
+    :param deadline_ms: when its final response is due, on the same clock.
     """
 
     ask: RoutedAsk
@@ -48,50 +49,52 @@
 
     @property
     def team_name(self) -> str:
-        """Whose key it came with; empty for a public route."""
+        """Name of the team that holds its key; empty for a public route."""
         return self.team.name if self.team else ''
 
     @property
     def left_ms(self) -> int:
-        """Time left until its deadline, at least 0."""
+        """Time left until its deadline, at least 0, milliseconds."""
         return max(int(self.deadline_ms - now_ms()), 0)
 
     @property
     def objective_left_ms(self) -> int:
-        """Time left until an answer would be late; less than 0 if it is."""
+        """Time left until a response would be late; below 0 if it is."""
         return int(self.arrived_ms + self.route.objective_ms - now_ms())
 
     @property
-    def patience_left_ms(self) -> int:
-        """Time left until the caller gives up waiting for a first byte."""
+    def client_timeout_left_ms(self) -> int:
+        """Time left until the client timeout for the first byte."""
         if not self.route.is_stream:
             return self.left_ms
-        patience_ms = max(
-            LEAST_PATIENCE_MS,
-            PATIENCE_OBJECTIVES * self.route.objective_ms,
-            PATIENCE_GAPS * self.route.gap_ms,
+        timeout_ms = max(
+            MIN_CLIENT_TIMEOUT_MS,
+            CLIENT_TIMEOUT_OBJECTIVES * self.route.objective_ms,
+            CLIENT_TIMEOUT_GAPS * self.route.gap_ms,
         )
-        end_ms = self.arrived_ms + patience_ms - WAY_BACK_MS
-        patience_ms = min(self.left_ms - WAY_BACK_MS, int(end_ms - now_ms()))
-        return max(patience_ms, 0)
+        end_ms = self.arrived_ms + timeout_ms - RESPONSE_TRANSFER_MS
+        left_ms = min(
+            self.left_ms - RESPONSE_TRANSFER_MS, int(end_ms - now_ms())
+        )
+        return max(left_ms, 0)
 
     @property
     def rank(self) -> int:
-        """Its priority, 0 first; the team's goes before the route's."""
+        """Its priority, 0 first; the team's overrides the route's."""
         if self.team is not None and self.team.priority is not None:
             return self.team.priority
         return self.route.priority
 
     @property
     def rank_in_team(self) -> int | None:
-        """The route's priority, where the team's goes before it."""
+        """The route's priority if the team's overrides it, else `None`."""
         if self.team is None or self.team.priority is None:
             return None
         return self.route.priority
 
     @property
     def quota_tokens(self) -> int:
-        """What it counts against its team's limit."""
+        """Number of tokens that it counts against its team's limit."""
         if self.team is None:
             return 0
         return self.ask.counted_tokens or self.team.plain_tokens
@@ -102,9 +105,11 @@
     proofs: Proofs,
     ask: RoutedAsk,
 ) -> Result[RoutedAdmission, NotRun]:
-    """Find route and team, in a configuration that may be relied on.
+    """Find the route and the team of a request.
+
+    The configuration is read again first if it may be out of date.
 
-    :param configuration: tells the one in force here.
+    :param configuration: returns the configuration in force here.
     """
     arrived_ms = now_ms()
     await proofs.async_renew_configuration()
@@ -118,17 +123,17 @@
     arrived_ms: float,
 ) -> Result[RoutedAdmission, NotRun]:
     if not configuration.version:
-        return Err(_uncertain('no_configuration', 'no configuration yet'))
+        return Err(_unconfirmed('no_configuration', 'no configuration yet'))
     route = configuration.find_route(ask.host, ask.request.path)
     if route is None:
-        return Err(_denied(proofs, _no_route()))
+        return Err(_deny_if_in_force(proofs, _no_route()))
     team = None
     if configuration.teams and not route.is_public:
         if not proofs.has_keys():
-            return Err(_stale())
+            return Err(_stale_configuration())
         team = configuration.team_of_key(ask.key)
         if team is None:
-            return Err(_denied(proofs, unauthorized()))
+            return Err(_deny_if_in_force(proofs, unauthorized()))
     return Ok(
         RoutedAdmission(
             ask=ask,
@@ -147,36 +152,40 @@
     *,
     has_keys: bool,
 ) -> Result[None, NotRun]:
-    """Check the key again, just before a request that waited is sent."""
+    """Check the key again, just before a queued request is sent."""
     if admission.team is None:
         return Ok(None)
     if not has_keys:
-        return Err(_stale())
+        return Err(_stale_configuration())
     if configuration.team_of_key(admission.ask.key) is None:
         return Err(unauthorized())
     return Ok(None)
 
 
-def _denied(proofs: Proofs, denial: NotRun) -> NotRun:
-    """Deny only on what is in force; a denial is final for its caller."""
-    return denial if proofs.is_in_force() else _stale()
+def _deny_if_in_force(proofs: Proofs, denial: NotRun) -> NotRun:
+    """Return a denial only if the configuration is in force.
+
+    A denial is final for its caller, so a stale configuration must not cause
+    one.
+    """
+    return denial if proofs.is_in_force() else _stale_configuration()
 
 
 def _no_route() -> NotRun:
     return NotRun(HTTPStatus.NOT_FOUND, 'no_route', 'no route leads there')
 
 
-def _stale() -> NotRun:
-    return _uncertain(
+def _stale_configuration() -> NotRun:
+    return _unconfirmed(
         'configuration_unproved',
         'this instance can not prove that its configuration is current',
     )
 
 
-def _uncertain(code: str, detail: str) -> NotRun:
+def _unconfirmed(code: str, detail: str) -> NotRun:
     return NotRun(
         HTTPStatus.SERVICE_UNAVAILABLE,
         code,
         detail,
-        UNCERTAIN_RETRY_MS,
+        UNCONFIRMED_RETRY_MS,
     )
--- a/hornbeamdeck/request/routed_ask.py
+++ b/hornbeamdeck/request/routed_ask.py
@@ -1,4 +1,4 @@
-"""A routed request as the edge sees it, and the dialect it came in."""
+"""Decoded routed requests, and the interface of a dialect that decodes them."""
 
 import enum
 from collections.abc import Callable
@@ -13,16 +13,17 @@
 
 
 class RoutedAsk(NamedTuple):
-    """One request, decoded.
+    """A decoded request.
 
     :param host: without port, in lower case.
-    :param key: the bearer key; empty where there is none.
-    :param patience_ms: how long the caller will wait from now.
-    :param prompt_tokens: tokens to be read; 0: no model request.
-    :param output_tokens: most tokens that may be made.
-    :param expected_tokens: the caller's guess of those; 0: none.
+    :param key: the bearer key; empty if there is none.
+    :param patience_ms: the client timeout, counted from now.
+    :param prompt_tokens: tokens of the prompt; 0: no model request.
+    :param output_tokens: maximum number of tokens to generate.
+    :param expected_tokens: the caller's estimate of those; 0: none.
     :param prompt_parts: ids of the prompt's parts, in order.
-    :param last_event: id of the last event that the caller has; empty: none.
+    :param last_event: id of the last event that the caller received; empty:
+        none.
     """
 
     request_id: str
@@ -38,17 +39,18 @@
 
     @property
     def counted_tokens(self) -> int:
-        """What it counts against its team's limit; 0: not told."""
+        """Tokens that it counts against its team's limit; 0: not stated."""
         return self.prompt_tokens + self.output_tokens
 
 
 class Dispatch(NamedTuple):
-    """One sending of a request to an engine.
+    """One attempt to run a request on an engine.
 
-    :param engine: the incarnation that alone may run it.
-    :param team: whose key it came with; empty: public.
+    :param engine: the only incarnation that may run it.
+    :param team: name of the team that holds its key; empty: public.
     :param left_ms: how long the engine may work on it.
-    :param after_event: id of the last event that the caller has; empty: none.
+    :param after_event: id of the last event that the caller received; empty:
+        none.
     """
 
     engine: str
@@ -58,7 +60,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the head of an engine's answer tells of the request."""
+    """What the head of an engine's response shows about the request."""
 
     RAN = enum.auto()
     NOT_RUN = enum.auto()
@@ -74,13 +76,13 @@
 
 
 class Dialect(NamedTuple):
-    """How callers and engines speak, as closures.
+    """The HTTP conventions of callers and engines, as functions.
 
-    :param read: decodes a request, or says what is wrong with it.
-    :param to_engine: headers of a request as an engine is to get them.
-    :param judge: judges the head of an engine's answer.
-    :param to_caller: an engine's answer as the caller is to get it.
-    :param refusal: the answer to a request that failed, by its id.
+    :param read: decodes a request, or returns why it is invalid.
+    :param to_engine: makes the headers of a request for an engine.
+    :param judge: classifies an engine's response by its head.
+    :param to_caller: converts an engine's response for the caller.
+    :param refusal: makes the response to a failed request from its id.
     """
 
     read: ReadAsk
--- a/hornbeamdeck/request/routed_edge.py
+++ b/hornbeamdeck/request/routed_edge.py
@@ -1,4 +1,4 @@
-"""What answers the routed requests of one caller's connection."""
+"""Admits or refuses the routed requests of a caller's connection."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AbstractContextManager
@@ -25,12 +25,13 @@
 
 _LOGGER = structlog.get_logger(prefix='edge')
 
-# Streams run for seconds; one that begins in the last two thirds of a planned
-# stop may still run at its end. Other answers are there in a fraction of it.
-STREAM_SHARE: Final = 0.35
-WHOLE_SHARE: Final = 0.8
-# Another instance is there at once.
-LEAVING_RETRY_MS: Final = 20
+# Parts of a graceful shutdown after which no stream, or no other request, is
+# started. Streams run for seconds; one that begins in the last two thirds of a
+# shutdown may still run at its end. Other responses take a fraction of that.
+MAX_SHUTDOWN_SHARE_STREAM: Final = 0.35
+MAX_SHUTDOWN_SHARE_OTHER: Final = 0.8
+# Short, because another instance is available at once.
+DRAINING_RETRY_MS: Final = 20
 
 RunRequest: TypeAlias = Callable[
     [RoutedAdmission, ServerConnection],
@@ -43,18 +44,18 @@
 
 
 class Edge(NamedTuple):
-    """What answering routed requests needs of the process.
+    """Dependencies for answering routed requests.
 
-    :param proofs: how current configuration and list of engines are.
-    :param connections: to engines, kept from one request to the next.
+    :param proofs: freshness of the configuration and of the list of engines.
+    :param connections: pool of idle connections to engines.
     :param acquire: waits for a grant.
-    :param progress: told a request's id and its time to first token, ms.
-    :param release: told a request's id, how its run ended, after how long, and
-        the longest pause between two events, ms.
-    :param spend: told a team's name and the tokens that it was granted.
+    :param progress: gets a request's id and its time to first token, ms.
+    :param release: gets a request's id, how its run ended, how long it took,
+        and the longest gap between two events, ms.
+    :param spend: gets a team's name and the number of tokens granted to it.
     :param zone: this instance's availability zone.
-    :param is_leaving: whether a planned stop has begun.
-    :param stop_share: part of a planned stop's time that is over; 0: none.
+    :param is_leaving: whether a graceful shutdown has begun.
+    :param stop_share: elapsed part of a graceful shutdown; 0 if none has begun.
     :param in_flight: counts a request while it is being answered.
     """
 
@@ -76,7 +77,7 @@
 def make_routed_answer(edge: Edge, run: RunRequest) -> Answer:
     """Make the function that answers one request.
 
-    :param run: gets a request that was admitted to its answer.
+    :param run: runs a request that was admitted.
     """
 
     async def _async_answer(
@@ -97,39 +98,44 @@
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
-    asked = edge.dialect.read(request)
-    if isinstance(asked, Err):
-        # What follows on this connection may be the rest of the bad request.
+    decoded = edge.dialect.read(request)
+    if isinstance(decoded, Err):
+        # Further bytes on this connection may belong to the bad request.
         caller.close_after_response()
-        await _async_refuse(edge, '', asked.err_value, caller)
+        await _async_refuse(edge, '', decoded.err_value, caller)
         return
-    ask = asked.ok_value
+    ask = decoded.ok_value
     admitted = await async_admit(edge.configuration, edge.proofs, ask)
     if isinstance(admitted, Err):
         await _async_refuse(edge, ask.request_id, admitted.err_value, caller)
         return
-    if _would_be_cut(edge, admitted.ok_value):
-        await _async_refuse(edge, ask.request_id, _leaving(), caller)
+    if _would_be_cut_off(edge, admitted.ok_value):
+        await _async_refuse(edge, ask.request_id, _draining(), caller)
         return
     await run(admitted.ok_value, caller)
 
 
-def _would_be_cut(edge: Edge, admission: RoutedAdmission) -> bool:
-    """Whether a planned stop would cut a request off that comes now.
+def _would_be_cut_off(edge: Edge, admission: RoutedAdmission) -> bool:
+    """Whether a graceful shutdown would cut off a request that starts now.
 
-    Some callers keep an address far longer than they are told and come in the
-    last seconds of a stop. A stream begun then would break in the middle.
+    Some callers use an address far longer than its time to live and send
+    requests in the last seconds of a shutdown. A stream that began then would
+    be cut off in the middle.
     """
-    share = STREAM_SHARE if admission.route.is_stream else WHOLE_SHARE
+    share = (
+        MAX_SHUTDOWN_SHARE_STREAM
+        if admission.route.is_stream
+        else MAX_SHUTDOWN_SHARE_OTHER
+    )
     return edge.stop_share() > share
 
 
-def _leaving() -> NotRun:
+def _draining() -> NotRun:
     return NotRun(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'leaving',
         'this instance is about to stop; another one serves',
-        LEAVING_RETRY_MS,
+        DRAINING_RETRY_MS,
     )
 
 
@@ -147,17 +153,17 @@
         status=int(refusal.status),
         configuration_version=edge.configuration().version,
         newest_version=edge.proofs.newest_version,
-        proof_age_ms=_shown(edge.proofs.configuration_age_ms()),
+        proof_age_ms=_age_for_log(edge.proofs.configuration_age_ms()),
     )
     await caller.async_respond(edge.dialect.refusal(refusal, request_id))
 
 
 def refuse_unreadable(edge: Edge, bad: BadRequest) -> HttpResponse:
-    """Make the response to a request that can't be read."""
+    """Make the response to a request that can't be parsed."""
     refusal = NotRun(HTTPStatus(bad.status), 'unreadable', bad.detail)
     edge.metrics.refused(refusal.code)
     return edge.dialect.refusal(refusal, '')
 
 
-def _shown(age_ms: float) -> int | None:
+def _age_for_log(age_ms: float) -> int | None:
     return int(age_ms) if age_ms < float('inf') else None
--- a/hornbeamdeck/request/routed_run.py
+++ b/hornbeamdeck/request/routed_run.py
@@ -1,4 +1,4 @@
-"""Gets one admitted request to an engine and its answer to the caller."""
+"""Sends an admitted request to engines and the response to the caller."""
 
 from http import HTTPStatus
 from typing import Final, NamedTuple
@@ -12,7 +12,7 @@
 from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
 from hornbeamdeck.request.refusal import deadline_passed
 from hornbeamdeck.request.routed_admission import (
-    PATIENCE_GAPS,
+    CLIENT_TIMEOUT_GAPS,
     RoutedAdmission,
     is_still_allowed,
 )
@@ -24,27 +24,29 @@
 
 _LOGGER = structlog.get_logger(prefix='request')
 
-# After these the request has not run, so another engine may get it.
+# After these the request has certainly not run, so it may be sent to another
+# engine.
 _NOT_RUN: Final = frozenset(
     (RunEnd.NOT_DISPATCHED, RunEnd.REJECTED, RunEnd.MISDIRECTED),
 )
-# After these a request that may repeat is tried again.
-_REPEATABLE: Final = frozenset((RunEnd.FAILED, RunEnd.ERRORED))
+# After these a request that may run twice is sent to another engine.
+_RETRYABLE: Final = frozenset((RunEnd.FAILED, RunEnd.ERRORED))
 FINGERPRINT_CHARS: Final = 16
-# A proof that was never had is shown as this old.
-MAX_SHOWN_MS: Final = 1_000_000
+# Logged as the age of a freshness confirmation that was never received.
+MAX_LOGGED_AGE_MS: Final = 1_000_000
 
 
-class _Tries(NamedTuple):
-    """What became of a request so far.
+class _Attempts(NamedTuple):
+    """Attempts made for a request so far.
 
-    :param arrivals: engines that its bytes have reached.
-    :param runs: engines that may have worked on it.
+    :param excluded: engines that it must not be sent to again.
+    :param engines_reached: number of engines that its bytes have reached.
+    :param possible_runs: number of engines that may have worked on it.
     """
 
     excluded: tuple[str, ...] = ()
-    arrivals: int = 0
-    runs: int = 0
+    engines_reached: int = 0
+    possible_runs: int = 0
 
 
 async def async_run_routed(
@@ -52,13 +54,17 @@
     admission: RoutedAdmission,
     caller: ServerConnection,
 ) -> None:
-    """Answer a request; every way out gives the caller one final word."""
+    """Answer a request.
+
+    However it ends, the caller gets exactly one final response, or its
+    connection is broken.
+    """
     run = RoutedRun(edge, admission, caller)
     failure: Failure | None = None
     try:
         failure = await async_within(admission.left_ms, run.async_run())
     except TaskTimeout:
-        failure = run.too_late()
+        failure = run.timeout_failure()
     except BaseException:
         run.log('caller left', code='caller_left')
         raise
@@ -67,7 +73,7 @@
 
 
 class RoutedRun:
-    """One request from its admission to its last byte."""
+    """Runs one request from its admission to the last byte of its response."""
 
     def __init__(
         self,
@@ -75,36 +81,36 @@
         admission: RoutedAdmission,
         caller: ServerConnection,
     ) -> None:
-        """Begin before anything is asked for."""
+        """Initialize; no grant has been requested yet."""
         self._edge = edge
         self._admission = admission
         self._caller = caller
-        self._tries = _Tries()
-        self._call = EngineCall(edge, admission, caller)
+        self._attempts = _Attempts()
+        self._engine_call = EngineCall(edge, admission, caller)
         self._engine = ''
         self._waited_ms = 0.0
 
     async def async_run(self) -> Failure | None:
-        """Try engines until one has answered or none may be tried.
+        """Send the request to engines until one answers or none is allowed.
 
-        :returns: what the caller is still to be told; `None`: it has its
-            answer.
+        :returns: the failure that the caller is still to get; `None` if it
+            has got its response.
         """
         while True:
             granted = await self._async_grant()
             if isinstance(granted, Err):
-                return await self._async_refused(granted.err_value)
+                return await self._async_handle_refusal(granted.err_value)
             upstream = granted.ok_value.upstream
             if not await self._edge.proofs.async_may_send(upstream):
-                await self._async_give_back(upstream)
+                await self._async_return_grant(upstream)
                 continue
-            end = await self._async_dispatch(granted.ok_value)
-            if not self._may_go_on(end):
-                return await self._async_conclude(end)
+            end = await self._async_attempt(granted.ok_value)
+            if not self._may_use_another_engine(end):
+                return await self._async_finish(end)
 
-    def too_late(self) -> Failure:
-        """Say that the time for an answer is over."""
-        if self._tries.runs or self._call.is_sent:
+    def timeout_failure(self) -> Failure:
+        """Make the failure of a request whose time limit has passed."""
+        if self._attempts.possible_runs or self._engine_call.is_sent:
             return Unknown(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 'deadline_passed',
@@ -113,10 +119,11 @@
         return deadline_passed()
 
     async def async_fail(self, failure: Failure) -> None:
-        """Tell the caller of a failure, on its connection or by breaking it."""
+        """Report a failure to the caller, by a response if none has started."""
         self.log('request failed', code=failure.code)
         if self._caller.has_started:
-            # Half an answer is on the wire; only a broken connection says so.
+            # Part of a response has been sent, so only a broken connection can
+            # still signal the failure.
             self._caller.abort()
             return
         request_id = self._admission.ask.request_id
@@ -124,7 +131,7 @@
         await self._caller.async_respond(response)
 
     def log(self, event: str, *, code: str = 'answered') -> None:
-        """Write the one line that says how a request ended and on what."""
+        """Log one line on how a request ended and on which data."""
         admission = self._admission
         edge = self._edge
         total_ms = now_ms() - admission.arrived_ms
@@ -144,25 +151,25 @@
             output_tokens=admission.ask.output_tokens,
             expected_tokens=admission.ask.expected_tokens,
             waited_ms=int(self._waited_ms),
-            first_ms=int(self._call.first_ms),
-            begun_ms=int(self._call.begun_ms),
-            longest_gap_ms=int(self._call.longest_gap_ms),
+            first_ms=int(self._engine_call.first_ms),
+            begun_ms=int(self._engine_call.begun_ms),
+            longest_gap_ms=int(self._engine_call.longest_gap_ms),
             objective_ms=admission.route.objective_ms,
             gap_ms=admission.route.gap_ms,
             total_ms=int(total_ms),
-            tries=self._tries.arrivals,
-            last_event=self._call.last_event,
+            tries=self._attempts.engines_reached,
+            last_event=self._engine_call.last_event_id,
             configuration_version=edge.configuration().version,
             newest_version=edge.proofs.newest_version,
-            proof_age_ms=_shown(edge.proofs.configuration_age_ms()),
-            engines_age_ms=_shown(edge.proofs.engines_age_ms()),
+            proof_age_ms=_age_for_log(edge.proofs.configuration_age_ms()),
+            engines_age_ms=_age_for_log(edge.proofs.engines_age_ms()),
         )
 
     async def _async_grant(self) -> Result[Grant, NotRun]:
         admission = self._admission
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         granted = await self._edge.acquire(self._enqueue())
-        self._waited_ms += now_ms() - asked_ms
+        self._waited_ms += now_ms() - requested_ms
         if isinstance(granted, Err):
             return granted
         allowed = is_still_allowed(
@@ -174,78 +181,86 @@
             request_id = admission.ask.request_id
             await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
             return allowed
-        if not self._tries.excluded and admission.team is not None:
+        if not self._attempts.excluded and admission.team is not None:
             self._edge.spend(admission.team_name, admission.quota_tokens)
         return granted
 
-    async def _async_give_back(self, engine: str) -> None:
-        """Give a grant back for an engine that has left meanwhile."""
+    async def _async_return_grant(self, engine: str) -> None:
+        """Return a grant whose engine is draining or has been removed."""
         request_id = self._admission.ask.request_id
         _LOGGER.info(
-            'grant given back',
+            'grant returned',
             request_id=request_id,
             engine=engine,
-            cause='the engine leaves or has left',
-            engines_age_ms=_shown(self._edge.proofs.engines_age_ms()),
+            cause='the engine is draining or was removed',
+            engines_age_ms=_age_for_log(self._edge.proofs.engines_age_ms()),
         )
         await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
-        excluded = (*self._tries.excluded, engine)
-        self._tries = self._tries._replace(excluded=excluded)
+        excluded = (*self._attempts.excluded, engine)
+        self._attempts = self._attempts._replace(excluded=excluded)
 
-    async def _async_dispatch(self, grant: Grant) -> RunEnd:
+    async def _async_attempt(self, grant: Grant) -> RunEnd:
         self._engine = grant.upstream
         granted_ms = now_ms()
         end = RunEnd.CANCELLED
         try:
-            end = await self._call.async_run(grant)
+            end = await self._engine_call.async_run(grant)
         finally:
-            await self._call.async_close(end)
+            await self._engine_call.async_close(end)
             await self._edge.release(
                 self._admission.ask.request_id,
                 end,
                 now_ms() - granted_ms,
-                self._gap_of_one_engine_ms(),
+                self._single_engine_gap_ms(),
             )
-        tries = self._tries
+        attempts = self._attempts
         if end != RunEnd.ANSWERED:
             _LOGGER.info(
                 'try ended',
                 request_id=self._admission.ask.request_id,
                 engine=grant.upstream,
                 end=end.name.lower(),
-                cause=self._call.cause,
+                cause=self._engine_call.cause,
                 took_ms=int(now_ms() - granted_ms),
             )
-        self._tries = _Tries(
-            excluded=(*tries.excluded, grant.upstream),
-            arrivals=tries.arrivals + (end != RunEnd.NOT_DISPATCHED),
-            runs=tries.runs + (end not in _NOT_RUN),
+        self._attempts = _Attempts(
+            excluded=(*attempts.excluded, grant.upstream),
+            engines_reached=attempts.engines_reached
+            + (end != RunEnd.NOT_DISPATCHED),
+            possible_runs=attempts.possible_runs + (end not in _NOT_RUN),
         )
         return end
 
-    def _gap_of_one_engine_ms(self) -> float:
-        """Tell the longest pause in the stream; 0 where two engines made it.
+    def _single_engine_gap_ms(self) -> float:
+        """Return the longest gap in the stream; 0 if two engines made it.
 
-        The pause in which the second took over tells nothing of either.
+        The gap in which the second engine took over describes neither engine.
         """
-        return 0 if self._tries.runs else self._call.longest_gap_ms
+        return (
+            0
+            if self._attempts.possible_runs
+            else self._engine_call.longest_gap_ms
+        )
 
-    def _may_go_on(self, end: RunEnd) -> bool:
+    def _may_use_another_engine(self, end: RunEnd) -> bool:
         if end in _NOT_RUN:
             return True
-        if end not in _REPEATABLE:
+        if end not in _RETRYABLE:
             return False
         route = self._admission.route
-        if not route.may_repeat or self._tries.runs >= route.max_dispatches:
+        if (
+            not route.may_repeat
+            or self._attempts.possible_runs >= route.max_dispatches
+        ):
             return False
         return not self._caller.has_started or route.is_resumable
 
-    async def _async_refused(self, refusal: NotRun) -> Failure | None:
-        if not self._tries.runs:
+    async def _async_handle_refusal(self, refusal: NotRun) -> Failure | None:
+        if not self._attempts.possible_runs:
             return refusal
-        if self._call.answer is not None:
-            return await self._async_conclude(RunEnd.ERRORED)
-        # An engine may have run it, so it can't be called refused.
+        if self._engine_call.response is not None:
+            return await self._async_finish(RunEnd.ERRORED)
+        # An engine may have run the request, so it must not count as refused.
         return Unknown(
             HTTPStatus.BAD_GATEWAY,
             refusal.code,
@@ -253,12 +268,12 @@
             refusal.retry_after_ms,
         )
 
-    async def _async_conclude(self, end: RunEnd) -> Failure | None:
-        answer = self._call.answer
-        if end == RunEnd.ANSWERED or answer is not None:
+    async def _async_finish(self, end: RunEnd) -> Failure | None:
+        response = self._engine_call.response
+        if end == RunEnd.ANSWERED or response is not None:
             self.log('request answered')
-            if answer is not None:
-                await self._caller.async_respond(answer)
+            if response is not None:
+                await self._caller.async_respond(response)
             return None
         return Unknown(
             HTTPStatus.BAD_GATEWAY,
@@ -271,11 +286,11 @@
             return self._admission.route.gap_ms
         return self._admission.objective_left_ms
 
-    def _patience_left_ms(self) -> int:
+    def _client_timeout_left_ms(self) -> int:
         if self._caller.has_started:
-            patience_ms = PATIENCE_GAPS * self._admission.route.gap_ms
-            return min(patience_ms, self._admission.left_ms)
-        return self._admission.patience_left_ms
+            timeout_ms = CLIENT_TIMEOUT_GAPS * self._admission.route.gap_ms
+            return min(timeout_ms, self._admission.left_ms)
+        return self._admission.client_timeout_left_ms
 
     def _enqueue(self) -> Enqueue:
         admission = self._admission
@@ -288,17 +303,17 @@
             deadline_ms=admission.left_ms,
             prompt_tokens=ask.prompt_tokens,
             output_tokens=ask.expected_tokens or ask.output_tokens,
-            excluded=list(self._tries.excluded),
-            fingerprint=self._call.fingerprint[:FINGERPRINT_CHARS],
+            excluded=list(self._attempts.excluded),
+            fingerprint=self._engine_call.fingerprint[:FINGERPRINT_CHARS],
             objective_ms=self._objective_left_ms(),
-            patience_ms=self._patience_left_ms(),
+            patience_ms=self._client_timeout_left_ms(),
             gap_ms=admission.route.gap_ms,
             quota_tokens=admission.quota_tokens,
-            dispatches=self._tries.arrivals,
+            dispatches=self._attempts.engines_reached,
             zone=self._edge.zone,
             route_rank=admission.rank_in_team,
         )
 
 
-def _shown(age_ms: float) -> int:
-    return int(min(age_ms, MAX_SHOWN_MS))
+def _age_for_log(age_ms: float) -> int:
+    return int(min(age_ms, MAX_LOGGED_AGE_MS))
--- a/tests/request/test_event_feed.py
+++ b/tests/request/test_event_feed.py
@@ -1,4 +1,4 @@
-"""Whole events out of pieces of a stream."""
+"""Complete events from pieces of a stream."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,34 +11,36 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_any_cut_into_pieces_gives_the_same_events(cuts: list[int]) -> None:
+def test_any_split_into_pieces_yields_the_same_events(
+    splits: list[int],
+) -> None:
     feed = EventFeed()
     events = []
     start = 0
-    ends = [*sorted(cuts), len(STREAM)]
+    ends = [*sorted(splits), len(STREAM)]
     for end in ends:
         events += feed.feed(STREAM[start:end])
         start = end
     assert b''.join(event.encoded for event in events) == STREAM
     assert [event.name for event in events] == ['1', '2', '3', '4', '5']
-    assert not feed.has_half
+    assert not feed.has_partial_event
 
 
-def test_half_an_event_is_held_back() -> None:
-    """An engine breaks within an event. Passed on, the half would be joined to
-    the first event of the engine that goes on.
+def test_partial_event_is_withheld() -> None:
+    """Guards against relaying a partial event of an engine that fails. It would
+    be joined to the first event of the engine that continues the stream.
     """
     feed = EventFeed()
     assert len(feed.feed(STREAM[:-3])) == 4
-    assert feed.has_half
+    assert feed.has_partial_event
 
 
-def test_all_line_endings_end_events() -> None:
+def test_all_line_endings_terminate_events() -> None:
     for end in (b'\n', b'\r\n', b'\r'):
         feed = EventFeed()
         events = feed.feed(b'id: 4' + end + b'data: x' + end + end)
         assert len(events) == 1
 
 
-def test_events_without_an_id_have_no_name() -> None:
+def test_events_without_an_id_have_an_empty_name() -> None:
     assert EventFeed().feed(b'data: id: 3\n\n')[0].name == ''
--- a/tests/request/test_planned_stop.py
+++ b/tests/request/test_planned_stop.py
@@ -1,10 +1,10 @@
-"""What is begun while a planned stop runs, and what is not."""
+"""Which requests are started during a graceful shutdown."""
 
 import math
 from typing import Any, cast
 
 from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_edge import Edge, _would_be_cut
+from hornbeamdeck.request.routed_edge import Edge, _would_be_cut_off
 from hornbeamdeck.version.routed import Route, RouteKind, ServiceShare
 
 ROUTE = Route(
@@ -23,8 +23,8 @@
 )
 
 
-def _is_begun(share: float, kind: RouteKind) -> bool:
-    edge = cast(Edge, _Stopping(share))
+def _is_started(share: float, kind: RouteKind) -> bool:
+    edge = cast(Edge, _EdgeInShutdown(share))
     admission = RoutedAdmission(
         ask=cast(Any, None),
         route=ROUTE._replace(kind=kind),
@@ -33,11 +33,11 @@
         arrived_ms=0,
         deadline_ms=math.inf,
     )
-    return not _would_be_cut(edge, admission)
+    return not _would_be_cut_off(edge, admission)
 
 
-class _Stopping:
-    """Stands for an edge in a planned stop."""
+class _EdgeInShutdown:
+    """Stub of an edge during a graceful shutdown."""
 
     def __init__(self, share: float) -> None:
         self._share = share
@@ -46,17 +46,18 @@
         return self._share
 
 
-def test_no_stream_begins_that_the_stop_would_cut() -> None:
-    """Some callers keep an address far longer than they are told, and come in
-    the last seconds of a stop. A note begun then breaks in the middle; refused,
-    its caller is served by another instance.
+def test_no_stream_starts_that_the_shutdown_would_cut_off() -> None:
+    """Guards against a stream that the end of a shutdown would cut off. Some
+    callers use an address far longer than its time to live and send requests
+    in the last seconds of a shutdown. If they are refused, another instance
+    serves them.
     """
-    assert _is_begun(0, RouteKind.STREAMING)
-    assert _is_begun(0.3, RouteKind.STREAMING)
-    assert not _is_begun(0.55, RouteKind.STREAMING)
+    assert _is_started(0, RouteKind.STREAMING)
+    assert _is_started(0.3, RouteKind.STREAMING)
+    assert not _is_started(0.55, RouteKind.STREAMING)
 
 
-def test_short_answers_are_served_on_until_late_in_the_stop() -> None:
-    assert _is_begun(0.55, RouteKind.NON_IDEMPOTENT)
-    assert _is_begun(0.7, RouteKind.IDEMPOTENT)
-    assert not _is_begun(0.95, RouteKind.NON_IDEMPOTENT)
+def test_short_responses_are_served_until_late_in_the_shutdown() -> None:
+    assert _is_started(0.55, RouteKind.NON_IDEMPOTENT)
+    assert _is_started(0.7, RouteKind.IDEMPOTENT)
+    assert not _is_started(0.95, RouteKind.NON_IDEMPOTENT)
