--- a/hornbeamdeck/request/__init__.py
+++ b/hornbeamdeck/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request."""
+"""Handling of a single request, from admission to its response."""
--- a/hornbeamdeck/request/admission.py
+++ b/hornbeamdeck/request/admission.py
@@ -1,4 +1,4 @@
-"""Who asks for what, and until when: checked before anything is queued."""
+"""Checks team, service, tier and deadline before a request is queued."""
 
 import hashlib
 import json
@@ -31,7 +31,7 @@
 MAX_DEADLINE_MS: Final = 3_600_000
 PLAIN_PREFIX: Final = '/services/'
 
-_COUNT: Final = vol.All(int, vol.Range(min=1, max=MAX_OUTPUT_TOKENS))
+_TOKEN_COUNT: Final = vol.All(int, vol.Range(min=1, max=MAX_OUTPUT_TOKENS))
 _MESSAGE: Final = vol.Schema(
     {
         vol.Required('role'): str,
@@ -47,8 +47,8 @@
             vol.Length(min=1),
         ),
         vol.Exclusive('prompt', 'asked'): vol.Any(str, [str]),
-        vol.Optional('max_tokens'): vol.Any(None, _COUNT),
-        vol.Optional('max_completion_tokens'): vol.Any(None, _COUNT),
+        vol.Optional('max_tokens'): vol.Any(None, _TOKEN_COUNT),
+        vol.Optional('max_completion_tokens'): vol.Any(None, _TOKEN_COUNT),
         vol.Optional('stream'): vol.Any(None, bool),
     },
     extra=vol.ALLOW_EXTRA,
@@ -58,11 +58,12 @@
 class Admission(NamedTuple):
     """A request that may be queued.
 
-    :param path: where to send it at the upstream.
-    :param deadline_ms: end of its time on this process's clock.
+    :param path: path of the request to the upstream.
+    :param deadline_ms: its deadline on this process's clock.
     :param prompt_tokens: estimated from the prompt's length.
-    :param output_tokens: the bound that the caller set, or the default.
-    :param fingerprint: digest of the call, the same when it is sent again.
+    :param output_tokens: the limit that the caller set, or the default.
+    :param fingerprint: digest of the call, which stays the same when it is
+        resent.
     """
 
     request_id: str
@@ -89,7 +90,7 @@
 
 
 def new_id() -> str:
-    """Make a request id that no other process makes."""
+    """Make a request id that is unique across processes."""
     return uuid.uuid4().hex
 
 
@@ -97,7 +98,7 @@
     configuration: Configuration,
     headers: Headers,
 ) -> Result[Team, NotRun]:
-    """Find the team by its bearer key."""
+    """Find the team that the bearer key belongs to."""
     authorization = headers.get('authorization', '')
     if not authorization.lower().startswith(BEARER):
         return Err(unauthorized())
@@ -112,7 +113,7 @@
     request: HttpRequest,
     request_id: str,
 ) -> Result[Admission, NotRun]:
-    """Check a completion call; `model` names the service."""
+    """Check a completion call, whose `model` field names the service."""
     team = identify(configuration, request.headers)
     if isinstance(team, Err):
         return team
@@ -128,8 +129,8 @@
         lambda admission: admission._replace(
             request_id=request_id,
             path=request.path,
-            prompt_tokens=_prompt_tokens(body),
-            output_tokens=_output_tokens(body),
+            prompt_tokens=_estimate_prompt_tokens(body),
+            output_tokens=_max_output_tokens(body),
             is_stream=bool(body.get('stream')),
         ),
     )
@@ -165,10 +166,10 @@
 ) -> Result[Admission, NotRun]:
     if service.name not in team.services:
         return Err(forbidden(f'the team may not use {service.name}'))
-    tier = _tier(configuration, request.headers, team)
+    tier = _find_tier(configuration, request.headers, team)
     if isinstance(tier, Err):
         return tier
-    deadline = _deadline_ms(request.headers, tier.ok_value)
+    deadline = _read_deadline_ms(request.headers, tier.ok_value)
     if isinstance(deadline, Err):
         return deadline
     return Ok(
@@ -196,7 +197,7 @@
     return digest.hexdigest()
 
 
-def _tier(
+def _find_tier(
     configuration: Configuration,
     headers: Headers,
     team: Team,
@@ -209,7 +210,7 @@
     return Ok(configuration.tiers[name])
 
 
-def _deadline_ms(headers: Headers, tier: Tier) -> Result[int, NotRun]:
+def _read_deadline_ms(headers: Headers, tier: Tier) -> Result[int, NotRun]:
     text = headers.get(HEADER_DEADLINE)
     if text is None:
         return Ok(tier.deadline_ms)
@@ -230,7 +231,7 @@
     return Ok(parsed)
 
 
-def _prompt_tokens(body: Mapping[str, Any]) -> int:
+def _estimate_prompt_tokens(body: Mapping[str, Any]) -> int:
     prompt = body.get('prompt')
     if prompt is None:
         chars = sum(
@@ -244,6 +245,6 @@
     return max(chars // CHARS_PER_TOKEN, 1)
 
 
-def _output_tokens(body: Mapping[str, Any]) -> int:
-    asked = body.get('max_completion_tokens') or body.get('max_tokens')
-    return int(asked or DEFAULT_OUTPUT_TOKENS)
+def _max_output_tokens(body: Mapping[str, Any]) -> int:
+    limit = body.get('max_completion_tokens') or body.get('max_tokens')
+    return int(limit or DEFAULT_OUTPUT_TOKENS)
--- a/hornbeamdeck/request/answer.py
+++ b/hornbeamdeck/request/answer.py
@@ -1,4 +1,4 @@
-"""A request's way from admission to its last byte."""
+"""Answers an admitted request, from its claim to the last response byte."""
 
 from typing import Final, NamedTuple
 
@@ -23,18 +23,18 @@
     to_response,
 )
 from hornbeamdeck.request.placement import Placement, async_place
-from hornbeamdeck.request.relay import async_relay, too_late
+from hornbeamdeck.request.relay import async_relay, deadline_passed_during_run
 from hornbeamdeck.version.configuration import Configuration
 
 __all__ = ('Answering', 'async_answer_admitted', 'async_fail')
 
-CLAIMED_GRACE_MS: Final = 30_000
+CLAIMED_RUN_GRACE_MS: Final = 30_000
 
 _LOGGER = structlog.get_logger(prefix='request')
 
 
 class Answering(NamedTuple):
-    """What answering a request needs of the process.
+    """Dependencies for answering a request.
 
     :param configuration: the version that admitted the request.
     """
@@ -51,25 +51,29 @@
     admission: Admission,
     caller: ServerConnection,
 ) -> None:
-    """Answer a request; every way out gives the caller one final word."""
+    """Answer a request.
+
+    However it ends, the caller gets exactly one final response, or its
+    connection is broken.
+    """
     if admission.may_repeat:
         await _async_run(parts, admission, None, caller)
         return
-    taken = await async_take_once(parts.once, admission)
-    if isinstance(taken, Err):
-        await async_fail(parts.metrics, admission, taken.err_value, caller)
+    claimed = await async_take_once(parts.once, admission)
+    if isinstance(claimed, Err):
+        await async_fail(parts.metrics, admission, claimed.err_value, caller)
         return
-    match taken.ok_value:
+    match claimed.ok_value:
         case Once() as once:
             await _async_run(parts, admission, once, caller)
         case Recorded() as recorded:
             await _async_replay(parts, admission, recorded, caller)
         case HttpResponse() as forwarded:
-            parts.metrics.count(*_labels(admission), 'forwarded')
+            parts.metrics.count(*_metric_labels(admission), 'forwarded')
             await caller.async_respond(forwarded)
 
 
-def _labels(admission: Admission) -> tuple[str, str]:
+def _metric_labels(admission: Admission) -> tuple[str, str]:
     return admission.service.name, admission.tier.name
 
 
@@ -87,7 +91,8 @@
             parts.policy,
         )
     finally:
-        # Reached by refusals and by callers that leave while they wait.
+        # This also runs if the request is refused, or if its caller
+        # disconnects while it is queued.
         if once is not None and not isinstance(placed, Ok):
             await once.release()
     if isinstance(placed, Err):
@@ -111,7 +116,7 @@
     if isinstance(relayed, Err):
         await async_fail(parts.metrics, admission, relayed.err_value, caller)
         return
-    parts.metrics.count(*_labels(admission), 'ran')
+    parts.metrics.count(*_metric_labels(admission), 'ran')
     if not caller.has_started:
         await caller.async_respond(relayed.ok_value)
 
@@ -122,33 +127,34 @@
     placement: Placement,
     once: Once,
 ) -> Result[HttpResponse, Unknown]:
-    """Run a call that must not repeat to its end, with or without its caller.
+    """Run a non-idempotent call to its end, even if its caller disconnects.
 
-    A customer whose connection drops while a booking runs, or who waits in
-    vain, sends it again. Were the run cut off with its caller or at its
-    deadline, nobody could tell that customer whether the booking was made.
+    A customer whose connection drops while a booking runs, or who gets no
+    response in time, sends the booking again. If the run were cancelled with
+    the connection or at the deadline, its outcome would stay unknown: no
+    response could say whether the booking was made.
     """
 
-    async def _async_work() -> Result[HttpResponse, Unknown]:
+    async def _async_run_and_record() -> Result[HttpResponse, Unknown]:
         relayed = await async_relay(
             admission,
             placement,
             parts.policy,
             None,
-            limit_ms=admission.left_ms + CLAIMED_GRACE_MS,
+            limit_ms=admission.left_ms + CLAIMED_RUN_GRACE_MS,
         )
         if not isinstance(relayed, Err):
             await once.record(relayed.ok_value)
         return relayed
 
-    work = await parts.background.async_spawn(_async_work())
+    work = await parts.background.async_spawn(_async_run_and_record())
     try:
         relayed: Result[HttpResponse, Unknown] = await async_within(
             admission.left_ms,
             work.join(),
         )
     except TaskTimeout:
-        return Err(too_late())
+        return Err(deadline_passed_during_run())
     return relayed
 
 
@@ -158,8 +164,8 @@
     failure: Failure,
     caller: ServerConnection,
 ) -> None:
-    """Tell the caller of a failure, on its connection or by breaking it."""
-    metrics.count(*_labels(admission), failure.outcome.value)
+    """Report a failure to the caller, by a response if none has started."""
+    metrics.count(*_metric_labels(admission), failure.outcome.value)
     _LOGGER.info(
         'request failed',
         request_id=admission.request_id,
@@ -167,7 +173,8 @@
         outcome=failure.outcome.value,
     )
     if caller.has_started:
-        # Half an answer is on the wire; only a broken connection says so.
+        # Part of a response has been sent, so only a broken connection can
+        # still signal the failure.
         caller.abort()
         return
     await caller.async_respond(to_response(failure, admission.request_id))
@@ -179,7 +186,7 @@
     recorded: Recorded,
     caller: ServerConnection,
 ) -> None:
-    parts.metrics.count(*_labels(admission), 'replay')
+    parts.metrics.count(*_metric_labels(admission), 'replay')
     response = recorded.response
     headers = {
         **response.headers,
--- a/hornbeamdeck/request/claim.py
+++ b/hornbeamdeck/request/claim.py
@@ -1,8 +1,9 @@
-"""The claim of a call that may run once only.
+"""Claims that give a non-idempotent call at-most-once execution.
 
 Before such a call is queued, an object for its idempotency key is created in
-the platform on the condition that there is none. Whoever created it runs the
-call; everyone else, at any instance, finds it and gets the first's outcome.
+the store, on the condition that none exists. The request that created it runs
+the call. Every other request with that key, at any instance, finds the object
+and gets the outcome of the first.
 """
 
 import base64
@@ -38,13 +39,13 @@
 
 ROLE: Final = 'claims'
 MAX_RECORDED_BYTES: Final = 262_144
-SETTLE_MS: Final = 60_000
+STORE_RETRY_LIMIT_MS: Final = 60_000
 
 
 class Claim(NamedTuple):
     """The right of this process to run a call.
 
-    :param version: the platform's version of the claim object.
+    :param version: the store's version of the claim object.
     """
 
     object_key: str
@@ -53,14 +54,18 @@
 
 
 class Claims:
-    """Makes, settles and releases claims."""
+    """Creates claims, records their outcomes and releases them."""
 
     def __init__(
         self,
         platform: PlatformClient,
         background: Background,
     ) -> None:
-        """Take the platform and a keeper for what outlives a request."""
+        """Initialize without claims.
+
+        :param platform: client of the store.
+        :param background: runs the tasks that outlive a request.
+        """
         self._platform = platform
         self._background = background
 
@@ -68,16 +73,19 @@
         self,
         call: ClaimCall,
     ) -> Result[Once | Recorded, Failure]:
-        """Claim a call, or find who has claimed it before."""
+        """Claim a call, or find the earlier claim of the same call."""
         record = ClaimRecord.from_call(call)
         claimed: Result[Claim | Recorded, Failure] | None = None
         try:
             claimed = await self._async_create(call, record)
         finally:
-            # Also where the caller leaves meanwhile: a claim that was made, or
-            # is still on its way, would answer `in_progress` to every resend.
+            # This also runs if the caller disconnects meanwhile. Otherwise a
+            # claim that was created, or whose create is still in transit,
+            # would make every resend of the call fail with `in_progress`.
             if claimed is None:
-                await self._async_give_up(call.object_key, record.nonce)
+                await self._async_schedule_release(
+                    call.object_key, record.nonce
+                )
         if claimed is None:
             return Err(platform_down())
         return claimed.map(self._to_once)
@@ -104,15 +112,17 @@
             body_base64=base64.b64encode(response.body).decode('ascii'),
         )
         await self._background.async_spawn(
-            self._async_settle_record(claim, record.to_text()),
+            self._async_store_outcome(claim, record.to_text()),
         )
 
     async def _async_release(self, claim: Claim) -> None:
-        await self._async_give_up(claim.object_key, claim.record.nonce)
+        await self._async_schedule_release(claim.object_key, claim.record.nonce)
 
-    async def _async_give_up(self, object_key: str, nonce: str) -> None:
+    async def _async_schedule_release(
+        self, object_key: str, nonce: str
+    ) -> None:
         await self._background.async_spawn(
-            self._async_settle_release(object_key, nonce),
+            self._async_delete_claim(object_key, nonce),
         )
 
     async def _async_create(
@@ -120,10 +130,13 @@
         call: ClaimCall,
         record: ClaimRecord,
     ) -> Result[Claim | Recorded, Failure] | None:
-        """Create the claim object, or find whose it is; `None`: can't tell."""
-        waits = backoff_s()
-        try_again = True
-        while try_again:
+        """Create the claim object, or find the one that exists.
+
+        :returns: `None` if neither could be established before the deadline.
+        """
+        delays = backoff_s()
+        may_retry = True
+        while may_retry:
             written = await self._platform.async_put(
                 call.object_key,
                 record.to_text(),
@@ -137,11 +150,12 @@
                 found = await self._async_find(call.object_key, record)
                 if found is not None:
                     return found
-            # The answer may be lost though the write took effect. The same
-            # create again is safe: it then conflicts with this very nonce.
-            wait_s = next(waits)
-            try_again = wait_s * MILLIS_PER_SECOND < call.left_ms
-            await sleep(wait_s if try_again else 0)
+            # The response may be lost although the write took effect. It is
+            # safe to repeat the create: it then conflicts with an object that
+            # holds this same nonce.
+            delay_s = next(delays)
+            may_retry = delay_s * MILLIS_PER_SECOND < call.left_ms
+            await sleep(delay_s if may_retry else 0)
         return None
 
     async def _async_find(
@@ -156,11 +170,11 @@
         found = ClaimRecord.from_text(stored.body or '')
         if found.nonce == record.nonce:
             return Ok(Claim(object_key, record, stored.version))
-        return _repeated(found, record)
+        return _earlier_result(found, record)
 
-    async def _async_settle_record(self, claim: Claim, text: str) -> None:
-        waits = backoff_s()
-        until_ms = now_ms() + SETTLE_MS
+    async def _async_store_outcome(self, claim: Claim, text: str) -> None:
+        delays = backoff_s()
+        until_ms = now_ms() + STORE_RETRY_LIMIT_MS
         while now_ms() < until_ms:
             written = await self._platform.async_put(
                 claim.object_key,
@@ -171,28 +185,29 @@
             if not isinstance(written, Err):
                 return
             if not isinstance(written.err_value, PlatformDown):
-                # An earlier try took effect and its answer was lost.
+                # An earlier attempt took effect and its response was lost.
                 return
-            await sleep(next(waits))
+            await sleep(next(delays))
         _LOGGER.warning('outcome not recorded', claim=claim.object_key)
 
-    async def _async_settle_release(self, object_key: str, nonce: str) -> None:
-        # An own create whose answer was lost may still be on its way, so an
-        # absent object is looked at again before this ends. Were the claim
-        # left, a caller told "not run" could never run its call at all.
-        waits = backoff_s()
-        until_ms = now_ms() + SETTLE_MS
-        absent = 0
-        while now_ms() < until_ms and absent < 3:
+    async def _async_delete_claim(self, object_key: str, nonce: str) -> None:
+        # A create of this process whose response was lost may still be in
+        # transit, so an absent object is checked again before this ends. If
+        # the claim remained, a caller that got the outcome "not run" could
+        # never get its call to run.
+        delays = backoff_s()
+        until_ms = now_ms() + STORE_RETRY_LIMIT_MS
+        absent_reads = 0
+        while now_ms() < until_ms and absent_reads < 3:
             got = await self._platform.async_get(object_key, role=ROLE)
             if not isinstance(got, Err):
                 if got.ok_value is None:
-                    absent += 1
-                elif not await self._async_delete_own(got.ok_value, nonce):
+                    absent_reads += 1
+                elif not await self._async_delete_if_own(got.ok_value, nonce):
                     return
-            await sleep(next(waits))
+            await sleep(next(delays))
 
-    async def _async_delete_own(
+    async def _async_delete_if_own(
         self,
         stored: StoredObject,
         nonce: str,
@@ -207,7 +222,7 @@
         return isinstance(deleted, Err)
 
 
-def _repeated(
+def _earlier_result(
     found: ClaimRecord,
     record: ClaimRecord,
 ) -> Result[Claim | Recorded, Failure]:
--- a/hornbeamdeck/request/claim_record.py
+++ b/hornbeamdeck/request/claim_record.py
@@ -1,4 +1,4 @@
-"""What a claim object holds, and under which key."""
+"""Content and key of a claim object in the store."""
 
 import hashlib
 import json
@@ -22,11 +22,12 @@
 
 
 class ClaimCall(NamedTuple):
-    """A call that is to run once.
+    """A non-idempotent call that needs a claim.
 
-    :param object_key: the claim object's key in the platform.
-    :param fingerprint: digest of the call, the same when it is sent again.
-    :param deadline_ms: until when to try, on this process's clock.
+    :param object_key: the claim object's key in the store.
+    :param fingerprint: digest of the call, which stays the same when it is
+        resent.
+    :param deadline_ms: when to stop trying to claim, on this process's clock.
     """
 
     object_key: str
@@ -40,11 +41,12 @@
 
 
 class ClaimRecord(NamedTuple):
-    """What the claim object holds.
+    """Content of a claim object.
 
-    :param nonce: tells this process's create from any other's.
-    :param fingerprint: digest of the call, to find a key used twice.
-    :param created_s: wall clock, for the retention.
+    :param nonce: identifies the create request of this process.
+    :param fingerprint: digest of the call, to detect a key that is used for
+        another call.
+    :param created_s: wall clock time of creation, for retention.
     """
 
     nonce: str
@@ -57,7 +59,7 @@
 
     @classmethod
     def from_call(cls, call: ClaimCall) -> Self:
-        """Begin the record of a call, with a nonce of its own."""
+        """Make the initial record of a call, with a new nonce."""
         return cls(
             nonce=uuid.uuid4().hex,
             fingerprint=call.fingerprint,
@@ -67,15 +69,15 @@
 
     @classmethod
     def from_text(cls, text: str) -> Self:
-        """Parse the object's body."""
+        """Parse the body of a claim object."""
         return cls(**json.loads(text))
 
     def to_text(self) -> str:
-        """Write the object's body."""
+        """Serialize to the body of a claim object."""
         return json.dumps(self._asdict())
 
 
 def claim_key(service: str, team: str, idempotency_key: str) -> str:
-    """Name the object of an idempotency key, apart for each team."""
+    """Make the object key of an idempotency key, separate for each team."""
     digest = hashlib.sha256(idempotency_key.encode(ENCODING)).hexdigest()
     return f'{PREFIX_CLAIM}{service}/{team}/{digest}'
--- a/hornbeamdeck/request/forward.py
+++ b/hornbeamdeck/request/forward.py
@@ -1,4 +1,4 @@
-"""Sends a call with an issued key to the one process that may run it."""
+"""Forwards a call with an issued key to the one process that may run it."""
 
 from http import HTTPStatus
 from typing import Final
@@ -26,10 +26,10 @@
     admission: Admission,
     issuer: InstanceStatus,
 ) -> Result[HttpResponse, Unknown]:
-    """Have the issuer answer; its whole response is the answer.
+    """Forward a call to the issuer of its key and return its response.
 
-    Even a failed connect is `unknown`: an earlier sending of the same key may
-    have run there.
+    Even a failed connect is reported as `unknown`, since an earlier call with
+    the same key may have run there.
     """
     opened = await ClientConnection.async_open(
         issuer.address,
@@ -39,22 +39,25 @@
         return Err(issuer_gone())
     connection = opened.ok_value
     try:
-        got = await async_within(
+        fetched = await async_within(
             admission.left_ms,
-            connection.async_fetch(_forwarded(admission)),
+            connection.async_fetch(_make_forwarded_request(admission)),
         )
     except TaskTimeout:
         return Err(issuer_gone())
     finally:
         await connection.async_close()
-    if isinstance(got, Err):
+    if isinstance(fetched, Err):
         return Err(issuer_gone())
-    answer = got.ok_value
-    return Ok(answer._replace(headers=without_hop_by_hop(answer.headers)))
+    response = fetched.ok_value
+    return Ok(response._replace(headers=without_hop_by_hop(response.headers)))
 
 
 def issuer_gone() -> Unknown:
-    """Say that the only process that could tell can't be reached."""
+    """Make the failure for a key whose issuer can't be reached.
+
+    Only the issuer has a record of whether the call ran.
+    """
     return Unknown(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'issuer_gone',
@@ -63,7 +66,7 @@
     )
 
 
-def _forwarded(admission: Admission) -> HttpRequest:
+def _make_forwarded_request(admission: Admission) -> HttpRequest:
     request = admission.request
     headers = {
         **without_hop_by_hop(request.headers),
--- a/hornbeamdeck/request/issued_key.py
+++ b/hornbeamdeck/request/issued_key.py
@@ -1,9 +1,10 @@
 """Idempotency keys that the system issues, each bound to one process.
 
-A caller's own key needs a claim in the platform. An issued key needs none: it
-names the one incarnation of an instance that may ever dispatch it, so that
-incarnation's memory is record enough, and bookings go on while the platform is
-down. Once the incarnation is gone nobody runs the key.
+A key chosen by a caller needs a claim in the store. An issued key needs none:
+it names the only incarnation of an instance that may ever dispatch its call,
+so a record in that incarnation's memory is sufficient and bookings continue
+while the store is down. Once that incarnation has ended, no instance runs the
+call.
 """
 
 import base64
@@ -23,16 +24,16 @@
 
 __all__ = ('IssuedKey', 'is_issued', 'issue_key', 'read_key')
 
-MARK: Final = 'hbk1.'
+KEY_PREFIX: Final = 'hbk1.'
 LIFETIME_S: Final = 3600
 NONCE_BYTES: Final = 12
-PURPOSE: Final = b'hornbeamdeck idempotency key'
+MAC_PURPOSE: Final = b'hornbeamdeck idempotency key'
 
 
 class IssuedKey(NamedTuple):
-    """What a key says.
+    """Fields of an issued key.
 
-    :param expires_s: wall clock; the record is kept until then.
+    :param expires_s: wall clock time until which the call's record is kept.
     """
 
     instance_id: str
@@ -43,8 +44,8 @@
 
 
 def is_issued(text: str) -> bool:
-    """Tell an issued key from a caller's own."""
-    return text.startswith(MARK)
+    """Whether a key has the form of an issued key."""
+    return text.startswith(KEY_PREFIX)
 
 
 def issue_key(
@@ -54,7 +55,7 @@
     team: str,
     secret: str,
 ) -> str:
-    """Make a key bound to this incarnation and to the team that asks."""
+    """Make a key bound to this incarnation and to the requesting team."""
     key = IssuedKey(
         instance_id=instance_id,
         incarnation=incarnation,
@@ -63,37 +64,37 @@
         nonce=secrets.token_hex(NONCE_BYTES),
     )
     body = base64.urlsafe_b64encode(json.dumps(key).encode(ENCODING))
-    return f'{MARK}{body.decode(ENCODING)}.{_mac(body, secret)}'
+    return f'{KEY_PREFIX}{body.decode(ENCODING)}.{_mac(body, secret)}'
 
 
 def read_key(text: str, *, team: str, secret: str) -> Result[IssuedKey, NotRun]:
     """Check a key's signature and team.
 
-    Unsigned, a caller could name an incarnation that never was and have a
-    booking refused for ever, or name another team's.
+    Without a signature, a caller could name an incarnation that never existed,
+    so that a booking is refused forever, or could make a key of another team.
     """
-    body, _, mac = text.removeprefix(MARK).rpartition('.')
+    body, _, mac = text.removeprefix(KEY_PREFIX).rpartition('.')
     expected = _mac(body.encode(ENCODING), secret)
     if not hmac.compare_digest(expected.encode(ENCODING), mac.encode(ENCODING)):
-        return Err(_not_ours())
+        return Err(_wrong_issued_key())
     try:
         key = IssuedKey(*json.loads(base64.urlsafe_b64decode(body)))
     except (ValueError, TypeError, binascii.Error):
-        return Err(_not_ours())
+        return Err(_wrong_issued_key())
     if key.team != team:
-        return Err(_not_ours())
+        return Err(_wrong_issued_key())
     return Ok(key)
 
 
 def _mac(body: bytes, secret: str) -> str:
-    # The purpose keeps this use of the secret apart from the peers' handshake.
+    # The purpose separates this use of the secret from the handshake of peers.
     digest = hmac.new(secret.encode(ENCODING), digestmod=hashlib.sha256)
-    digest.update(PURPOSE)
+    digest.update(MAC_PURPOSE)
     digest.update(body)
     return digest.hexdigest()
 
 
-def _not_ours() -> NotRun:
+def _wrong_issued_key() -> NotRun:
     return bad_request(
         'the key looks issued but was not issued to this team',
         'wrong_issued_key',
--- a/hornbeamdeck/request/once.py
+++ b/hornbeamdeck/request/once.py
@@ -1,4 +1,4 @@
-"""The right to run a call that must not repeat, whoever keeps the record."""
+"""The right to run a non-idempotent call, from a claim or an issued key."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -13,10 +13,11 @@
 
 
 class Once(NamedTuple):
-    """The right itself.
+    """The right to run a call, for at-most-once execution.
 
-    :param record: keeps the outcome for those that repeat the call.
-    :param release: gives the right up; the call was surely not dispatched.
+    :param record: stores the outcome for later requests with the same key.
+    :param release: gives the right back; allowed only if the call was
+        certainly not dispatched.
     """
 
     record: Callable[[HttpResponse], Awaitable[None]]
@@ -24,13 +25,13 @@
 
 
 class Recorded(NamedTuple):
-    """The outcome of a first call, for those that repeat it."""
+    """The recorded outcome of an earlier request with the same key."""
 
     response: HttpResponse
 
 
 def in_progress() -> Unknown:
-    """Say that an earlier call has no outcome yet, or none that is known."""
+    """Make the failure for an earlier call without a recorded outcome."""
     return Unknown(
         HTTPStatus.CONFLICT,
         'in_progress',
--- a/hornbeamdeck/request/once_sources.py
+++ b/hornbeamdeck/request/once_sources.py
@@ -1,4 +1,4 @@
-"""Where the right to run a call once comes from: a claim, or an issued key."""
+"""Gets the right to run a non-idempotent call: by claim or by issued key."""
 
 from typing import Final, NamedTuple
 
@@ -33,7 +33,7 @@
 
 
 class OnceSources(NamedTuple):
-    """Both sources, and who this process is."""
+    """Dependencies for claims and issued keys, and this instance's identity."""
 
     claims: Claims
     issued: IssuedCalls
@@ -42,7 +42,7 @@
 
 
 def issue_for(sources: OnceSources, team: str) -> str:
-    """Issue a key that only this incarnation will run."""
+    """Issue a key whose call only this incarnation will run."""
     own = sources.membership.own
     return issue_key(
         instance_id=own.instance_id,
@@ -56,29 +56,34 @@
     sources: OnceSources,
     admission: Admission,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
-    """Take the right to run a call, or find its outcome, here or elsewhere.
+    """Get the right to run a call, or the outcome of an earlier request.
 
-    :returns: the right; an outcome kept here; or the issuer's own response.
+    :returns: the right, a recorded outcome, or the response of the instance
+        that issued the key.
     """
-    text = admission.request.headers.get(HEADER_IDEMPOTENCY_KEY, '')
-    if not text or len(text) > MAX_KEY_CHARS:
+    key_text = admission.request.headers.get(HEADER_IDEMPOTENCY_KEY, '')
+    if not key_text or len(key_text) > MAX_KEY_CHARS:
         return Err(
             bad_request(
                 'this call needs an Idempotency-Key of 1 to 256 characters',
                 'idempotency_key_needed',
             ),
         )
-    if not is_issued(text):
-        return await sources.claims.async_claim(_to_call(admission, text))
-    read = read_key(text, team=admission.team.name, secret=sources.secret)
-    if isinstance(read, Err):
-        return read
-    if _is_own(sources, read.ok_value):
-        return sources.issued.begin(read.ok_value, admission.fingerprint)
-    return await _async_ask_issuer(sources, admission, read.ok_value)
+    if not is_issued(key_text):
+        return await sources.claims.async_claim(
+            _make_claim_call(admission, key_text)
+        )
+    decoded = read_key(
+        key_text, team=admission.team.name, secret=sources.secret
+    )
+    if isinstance(decoded, Err):
+        return decoded
+    if _is_issued_here(sources, decoded.ok_value):
+        return sources.issued.begin(decoded.ok_value, admission.fingerprint)
+    return await _async_forward_to_issuer(sources, admission, decoded.ok_value)
 
 
-def _to_call(admission: Admission, idempotency_key: str) -> ClaimCall:
+def _make_claim_call(admission: Admission, idempotency_key: str) -> ClaimCall:
     object_key = claim_key(
         admission.service.name,
         admission.team.name,
@@ -91,7 +96,7 @@
     )
 
 
-def _is_own(sources: OnceSources, key: IssuedKey) -> bool:
+def _is_issued_here(sources: OnceSources, key: IssuedKey) -> bool:
     own = sources.membership.own
     return (key.instance_id, key.incarnation) == (
         own.instance_id,
@@ -99,7 +104,7 @@
     )
 
 
-async def _async_ask_issuer(
+async def _async_forward_to_issuer(
     sources: OnceSources,
     admission: Admission,
     key: IssuedKey,
@@ -108,6 +113,7 @@
     if issuer is None or issuer.incarnation != key.incarnation:
         return Err(issuer_gone())
     if HEADER_FORWARDED in admission.request.headers:
-        # Forwarded here by one that still takes this address for the issuer's.
+        # The instance that forwarded the call still takes this address for the
+        # issuer's.
         return Err(issuer_gone())
     return await async_forward(admission, issuer)
--- a/hornbeamdeck/request/outcome.py
+++ b/hornbeamdeck/request/outcome.py
@@ -1,7 +1,7 @@
-"""What a caller is told about whether its request ran.
+"""Outcomes reported to callers: whether a request ran.
 
-A refusal before the first byte reached an upstream has another type than a
-failure after it, so code past the dispatch has no way to say "not run".
+A refusal before the first byte reached an upstream has a different type than a
+failure after it, so that code after the dispatch can't report "not run".
 """
 
 import enum
@@ -23,7 +23,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """The three words of the callers' contract."""
+    """The three outcomes that the interface for callers defines."""
 
     NOT_RUN = 'not_run'
     RAN = 'ran'
@@ -33,8 +33,8 @@
 class NotRun(NamedTuple):
     """A refusal: no byte of the request reached an upstream.
 
-    :param code: stable name of the reason, for programs.
-    :param retry_after_ms: when to come back, milliseconds.
+    :param code: stable, machine-readable name of the reason.
+    :param retry_after_ms: delay before a retry, milliseconds.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """The word for this."""
+        """The outcome to report."""
         return Outcome.NOT_RUN
 
 
@@ -58,7 +58,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """The word for this."""
+        """The outcome to report."""
         return Outcome.UNKNOWN
 
 
@@ -66,7 +66,7 @@
 
 
 def to_response(failure: Failure, request_id: str) -> HttpResponse:
-    """Write a failure as problem+json (RFC 9457)."""
+    """Make the problem+json response (RFC 9457) to a failed request."""
     problem = {
         'type': f'urn:hornbeamdeck:{failure.code}',
         'title': failure.code.replace('_', ' '),
--- a/hornbeamdeck/request/pages.py
+++ b/hornbeamdeck/request/pages.py
@@ -1,4 +1,4 @@
-"""What an instance answers itself, without an upstream."""
+"""Endpoints that an instance serves itself, without an upstream."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -20,7 +20,7 @@
 
 __all__ = ('Routing', 'own_page')
 
-ENTRIES_COUNT: Final = 3
+MAX_ENTRIES: Final = 3
 MODEL_FIELDS: Final[Mapping[str, object]] = MappingProxyType(
     {'object': 'model', 'created': 0, 'owned_by': 'hornbeamdeck'},
 )
@@ -28,10 +28,11 @@
 
 
 class Routing(NamedTuple):
-    """What the router needs of the process.
+    """Dependencies of the router.
 
-    :param answering: gives the parts, with the configuration in force now.
-    :param is_leaving: whether a planned stop has begun.
+    :param answering: returns the dependencies for answering a request, with
+        the configuration in force now.
+    :param is_leaving: whether a graceful shutdown has begun.
     :param in_flight: counts a request while it is being answered.
     """
 
@@ -42,7 +43,9 @@
     in_flight: Callable[[], AbstractContextManager[None]]
 
 
-TeamPage: TypeAlias = Callable[[Routing, Answering, Team, str], HttpResponse]
+TeamEndpoint: TypeAlias = Callable[
+    [Routing, Answering, Team, str], HttpResponse
+]
 
 
 def own_page(
@@ -51,30 +54,34 @@
     request: HttpRequest,
     request_id: str,
 ) -> HttpResponse:
-    """Answer a path that leads to no upstream."""
+    """Answer a request whose path is not forwarded to an upstream."""
     match request.path:
         case '/healthz':
             return _health(routing, parts)
         case '/metrics':
             headers = {'content-type': METRICS_TYPE}
             return HttpResponse(HTTPStatus.OK, headers, parts.metrics.render())
-    page = _TEAM_PAGES.get(request.path)
-    if page is None:
+    endpoint = _TEAM_ENDPOINTS.get(request.path)
+    if endpoint is None:
         refusal = NotRun(HTTPStatus.NOT_FOUND, 'no_such_path', 'no such path')
         return to_response(refusal, request_id)
     team = identify(parts.configuration, request.headers)
     if isinstance(team, Err):
         return to_response(team.err_value, request_id)
-    return page(routing, parts, team.ok_value, request_id)
+    return endpoint(routing, parts, team.ok_value, request_id)
 
 
 def _health(routing: Routing, parts: Answering) -> HttpResponse:
     version = parts.configuration.version
     if routing.is_leaving():
-        return _json(HTTPStatus.SERVICE_UNAVAILABLE, {'state': 'leaving'})
+        return _json_response(
+            HTTPStatus.SERVICE_UNAVAILABLE, {'state': 'leaving'}
+        )
     state = 'ready' if version else 'no configuration'
     status = HTTPStatus.OK if version else HTTPStatus.SERVICE_UNAVAILABLE
-    return _json(status, {'state': state, 'configuration_version': version})
+    return _json_response(
+        status, {'state': state, 'configuration_version': version}
+    )
 
 
 def _entries(
@@ -83,7 +90,7 @@
     _team: Team,
     request_id: str,
 ) -> HttpResponse:
-    chosen = routing.membership.entries(request_id, ENTRIES_COUNT)
+    chosen = routing.membership.entries(request_id, MAX_ENTRIES)
     entries = [
         {
             'address': str(status.address),
@@ -91,20 +98,21 @@
         }
         for status in chosen
     ]
-    return _json(
+    return _json_response(
         HTTPStatus.OK,
         {'entries': entries, 'ttl_ms': routing.entries_ttl_ms},
     )
 
 
-def _issue(
+def _issue_idempotency_key(
     routing: Routing,
     parts: Answering,
     team: Team,
     request_id: str,
 ) -> HttpResponse:
     if routing.is_leaving():
-        # What this process remembers goes with it.
+        # The records of issued keys are in this process's memory and are lost
+        # when it stops.
         refusal = NotRun(
             HTTPStatus.SERVICE_UNAVAILABLE,
             'leaving',
@@ -112,7 +120,7 @@
         )
         return to_response(refusal, request_id)
     key = issue_for(parts.once, team.name)
-    return _json(HTTPStatus.CREATED, {'idempotency_key': key})
+    return _json_response(HTTPStatus.CREATED, {'idempotency_key': key})
 
 
 def _models(
@@ -126,18 +134,18 @@
         for name in team.services
         if parts.configuration.services[name].is_model
     ]
-    return _json(HTTPStatus.OK, {'object': 'list', 'data': models})
+    return _json_response(HTTPStatus.OK, {'object': 'list', 'data': models})
 
 
-def _json(status: HTTPStatus, body: object) -> HttpResponse:
+def _json_response(status: HTTPStatus, body: object) -> HttpResponse:
     headers = {'content-type': 'application/json'}
     return HttpResponse(status, headers, json.dumps(body).encode(ENCODING))
 
 
-_TEAM_PAGES: Final[Mapping[str, TeamPage]] = MappingProxyType(
+_TEAM_ENDPOINTS: Final[Mapping[str, TeamEndpoint]] = MappingProxyType(
     {
         '/v1/entries': _entries,
-        '/v1/idempotency-keys': _issue,
+        '/v1/idempotency-keys': _issue_idempotency_key,
         '/v1/models': _models,
     },
 )
--- a/hornbeamdeck/request/placement.py
+++ b/hornbeamdeck/request/placement.py
@@ -1,4 +1,4 @@
-"""Finds an upstream that takes a request, before any byte is written."""
+"""Gets a grant and a connection to an upstream, before any byte is written."""
 
 from http import HTTPStatus
 from typing import Final, NamedTuple
@@ -21,15 +21,15 @@
 _LOGGER = structlog.get_logger(prefix='dispatch')
 
 CONNECT_TIMEOUT_MS: Final = 1000
-MAX_TRIES: Final = 5
+MAX_ATTEMPTS: Final = 5
 RETRY_MS: Final = 1000
 FINGERPRINT_CHARS: Final = 16
 
 
 class Placement(NamedTuple):
-    """An open connection to the upstream that was granted.
+    """An open connection to the granted upstream.
 
-    :param granted_ms: when the grant came, on this process's clock.
+    :param granted_ms: when the grant was received, on this process's clock.
     """
 
     upstream: str
@@ -42,18 +42,18 @@
     configuration: Configuration,
     policy: Policy,
 ) -> Result[Placement, NotRun]:
-    """Get a grant and connect; a failed connect moves on to another upstream.
+    """Get a grant and connect; after a failed connect use another upstream.
 
-    Nothing is written here, so trying another one can't run a request twice.
+    Nothing is written here, so another attempt can't run a request twice.
     """
     excluded: list[str] = []
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         granted = await policy.acquire(_enqueue(admission, excluded))
         if isinstance(granted, Err):
             return granted
         name = granted.ok_value
         granted_ms = now_ms()
-        connected = await _async_open(admission, configuration, policy, name)
+        connected = await _async_connect(admission, configuration, policy, name)
         if isinstance(connected, Ok):
             return Ok(Placement(name, connected.ok_value, granted_ms))
         excluded.append(name)
@@ -69,7 +69,7 @@
     )
 
 
-async def _async_open(
+async def _async_connect(
     admission: Admission,
     configuration: Configuration,
     policy: Policy,
@@ -86,8 +86,8 @@
             )
         end = RunEnd.NOT_DISPATCHED
     finally:
-        # Also where the caller leaves during the connect: unless the place
-        # goes back, the owner counts a run that never ends.
+        # This also runs if the caller disconnects during the connect. If the
+        # slot were not released, the owner would count a run that never ends.
         if not isinstance(opened, Ok):
             await policy.release(admission.request_id, end, 0)
     if isinstance(opened, Ok):
--- a/hornbeamdeck/request/refusal.py
+++ b/hornbeamdeck/request/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals by name: each is given before any byte reached an upstream."""
+"""Makes the refusals, all issued before any byte reached an upstream."""
 
 from http import HTTPStatus
 from types import MappingProxyType
@@ -19,7 +19,7 @@
 )
 
 RETRY_MS: Final = 1000
-MAX_SHOWN_CHARS: Final = 64
+MAX_SERVICE_NAME_CHARS: Final = 64
 
 _CODES: Final = MappingProxyType(
     {
@@ -43,7 +43,7 @@
 
 
 def from_refuse(refusal: Refuse) -> NotRun:
-    """Turn an owner's refusal into the caller's."""
+    """Convert an owner's refusal to the one that the caller gets."""
     if refusal.reason == RefusalReason.CULPRIT:
         return unprocessable('upstreams have died of this request')
     code, detail = _CODES[RefusalReason(refusal.reason)]
@@ -59,7 +59,7 @@
 
 
 def deadline_passed() -> NotRun:
-    """Say that no grant came before the deadline."""
+    """Make the refusal for a request without a grant before its deadline."""
     return NotRun(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'deadline_passed',
@@ -69,7 +69,7 @@
 
 
 def platform_down() -> NotRun:
-    """Say that a claim could not be made."""
+    """Make the refusal for a call whose claim could not be created."""
     return NotRun(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'platform_down',
@@ -79,12 +79,12 @@
 
 
 def bad_request(detail: str, code: str = 'bad_request') -> NotRun:
-    """Say that the request itself is wrong."""
+    """Make the refusal for an invalid request."""
     return NotRun(HTTPStatus.BAD_REQUEST, code, detail)
 
 
 def unauthorized() -> NotRun:
-    """Say that no team has this key."""
+    """Make the refusal for a key that belongs to no team."""
     return NotRun(
         HTTPStatus.UNAUTHORIZED,
         'unauthorized',
@@ -93,21 +93,21 @@
 
 
 def forbidden(detail: str) -> NotRun:
-    """Say that the team may not use what it asked for."""
+    """Make the refusal for what the team is not permitted to use."""
     return NotRun(HTTPStatus.FORBIDDEN, 'forbidden', detail)
 
 
 def unknown_service(name: str) -> NotRun:
-    """Say that there is no such service."""
+    """Make the refusal for a service that does not exist."""
     return NotRun(
         HTTPStatus.NOT_FOUND,
         'unknown_service',
-        f'there is no service {name[:MAX_SHOWN_CHARS]!r}',
+        f'there is no service {name[:MAX_SERVICE_NAME_CHARS]!r}',
     )
 
 
 def unprocessable(detail: str) -> NotRun:
-    """Say that the request is understood and will never be run."""
+    """Make the refusal for a valid request that will never be run."""
     return NotRun(
         HTTPStatus.UNPROCESSABLE_ENTITY,
         'unprocessable',
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -1,7 +1,7 @@
-"""Sends a placed request to its upstream and its answer to the caller.
+"""Sends a placed request to its upstream and the response to the caller.
 
-From the first byte written here every failure is `Unknown`: the type has no
-way to say "not run", and there is no second dispatch.
+From the first byte written here every failure is `Unknown`. That type can't
+express "not run", and the request is not dispatched a second time.
 """
 
 from http import HTTPStatus
@@ -28,9 +28,14 @@
 from hornbeamdeck.request.placement import Placement
 from hornbeamdeck.wire import RunEnd
 
-__all__ = ('Relay', 'async_relay', 'too_late', 'without_hop_by_hop')
+__all__ = (
+    'Relay',
+    'async_relay',
+    'deadline_passed_during_run',
+    'without_hop_by_hop',
+)
 
-HOP_BY_HOP: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
         'content-length',
@@ -44,19 +49,21 @@
         'upgrade',
     ),
 )
-# What must not reach an upstream: the team's key, and the wish for an encoding
-# in which the end of a stream could not be recognized.
-WITHHELD: Final = frozenset(('accept-encoding', 'authorization', 'expect'))
+# Headers that must not reach an upstream. They include the team's key and the
+# request for an encoding in which the end of a stream could not be recognized.
+WITHHELD_HEADERS: Final = frozenset(
+    ('accept-encoding', 'authorization', 'expect')
+)
 EVENT_STREAM: Final = 'text/event-stream'
 END_MARK: Final = b'data: [DONE]'
 TAIL_BYTES: Final = 64
 
 
 class Relay:
-    """One answer on its way from an upstream to a caller."""
+    """Relays one response from an upstream to a caller."""
 
     def __init__(self, admission: Admission, placement: Placement) -> None:
-        """Begin before anything is written."""
+        """Initialize; nothing has been written yet."""
         self.end = RunEnd.FAILED
         self._stream: EngineStream | None = None
         self._admission = admission
@@ -68,24 +75,26 @@
         caller: ServerConnection | None,
         policy: Policy,
     ) -> Result[HttpResponse, Unknown]:
-        """Send the request; relay a stream, read any other answer whole."""
-        sent = await self._upstream.async_send(_to_upstream(self._admission))
+        """Send the request, then relay a stream or read another response."""
+        sent = await self._upstream.async_send(
+            _make_upstream_request(self._admission)
+        )
         if isinstance(sent, Err):
-            return Err(_broken())
+            return Err(_upstream_broken())
         head = await self._upstream.async_read_head()
         if isinstance(head, Err):
-            return Err(_broken())
-        answer = head.ok_value._replace(
-            headers=_to_caller(
+            return Err(_upstream_broken())
+        response = head.ok_value._replace(
+            headers=_make_caller_headers(
                 head.ok_value.headers, self._admission.request_id
             ),
         )
-        if caller is not None and _is_stream(answer):
-            return await self._async_stream(answer, caller, policy)
-        return await self._async_whole(answer)
+        if caller is not None and _is_stream(response):
+            return await self._async_relay_stream(response, caller, policy)
+        return await self._async_read_whole(response)
 
     async def async_close(self) -> None:
-        """End the upstream's part; closing cancels a run that has not ended."""
+        """Close the upstream connection and cancel an unfinished run."""
         if self._stream is None:
             await self._upstream.async_close()
             return
@@ -93,57 +102,60 @@
         if self.end == RunEnd.CANCELLED:
             await self._stream.async_cancel()
 
-    async def _async_whole(
+    async def _async_read_whole(
         self,
-        answer: HttpResponse,
+        response: HttpResponse,
     ) -> Result[HttpResponse, Unknown]:
         body = await self._upstream.async_read_body()
         if isinstance(body, Err):
-            return Err(_broken())
-        if _is_stream(answer) and END_MARK not in body.ok_value:
-            return Err(_broken())
+            return Err(_upstream_broken())
+        if _is_stream(response) and END_MARK not in body.ok_value:
+            return Err(_upstream_broken())
         self.end = RunEnd.ANSWERED
-        return Ok(answer._replace(body=body.ok_value))
+        return Ok(response._replace(body=body.ok_value))
 
-    async def _async_stream(
+    async def _async_relay_stream(
         self,
-        answer: HttpResponse,
+        response: HttpResponse,
         caller: ServerConnection,
         policy: Policy,
     ) -> Result[HttpResponse, Unknown]:
-        stream = EngineStream(self._upstream, answer)
+        stream = EngineStream(self._upstream, response)
         self._stream = stream
-        started = await caller.async_start(answer.status, answer.headers)
+        sent_to_caller = await caller.async_start(
+            response.status, response.headers
+        )
         tail = b''
-        while not isinstance(started, Err):
+        while not isinstance(sent_to_caller, Err):
             piece = await stream.async_read_piece()
             if isinstance(piece, Err):
-                return Err(_broken())
+                return Err(_upstream_broken())
             if not piece.ok_value:
-                return await self._async_end(answer, caller, tail)
+                return await self._async_end_stream(response, caller, tail)
             if not tail:
-                await self._async_first_token(policy)
+                await self._async_report_first_token(policy)
             tail = (tail + piece.ok_value)[-TAIL_BYTES:]
-            started = await caller.async_send(piece.ok_value)
+            sent_to_caller = await caller.async_send(piece.ok_value)
         self.end = RunEnd.CANCELLED
-        return Err(_broken())
+        return Err(_upstream_broken())
 
-    async def _async_end(
+    async def _async_end_stream(
         self,
-        answer: HttpResponse,
+        response: HttpResponse,
         caller: ServerConnection,
         tail: bytes,
     ) -> Result[HttpResponse, Unknown]:
-        # An engine that dies behind a server of its own may have its stream
-        # ended cleanly, short of the last event. Ended cleanly here too, the
-        # caller would take half an answer for a whole one.
+        # If an engine process dies behind its own HTTP server, that server may
+        # end the stream cleanly before the last event. If the stream were
+        # ended cleanly here too, the caller would take a truncated response
+        # for a complete one.
         if END_MARK not in tail:
-            return Err(_broken())
+            return Err(_upstream_broken())
         self.end = RunEnd.ANSWERED
         await caller.async_end()
-        return Ok(answer)
+        return Ok(response)
 
-    async def _async_first_token(self, policy: Policy) -> None:
+    async def _async_report_first_token(self, policy: Policy) -> None:
         await policy.first_token(
             self._admission.request_id,
             now_ms() - self._granted_ms,
@@ -158,12 +170,12 @@
     *,
     limit_ms: int,
 ) -> Result[HttpResponse, Unknown]:
-    """Relay within a time limit; the upstream's place is always given back.
+    """Relay within a time limit, and always release the upstream's slot.
 
-    :param caller: who gets a stream piece by piece; `None`: an answer is read
-        whole, whatever its kind.
+    :param caller: gets a stream piece by piece. If `None`, every response is
+        read completely, also a stream.
     :param limit_ms: when the run is cancelled, milliseconds from now.
-    :returns: the response; what was streamed is not in its body.
+    :returns: the response; its body lacks what was streamed to the caller.
     """
     relay = Relay(admission, placement)
     try:
@@ -173,7 +185,7 @@
         )
     except TaskTimeout:
         relay.end = RunEnd.CANCELLED
-        return Err(too_late())
+        return Err(deadline_passed_during_run())
     except BaseException:
         relay.end = RunEnd.CANCELLED
         raise
@@ -186,11 +198,11 @@
         )
 
 
-def _is_stream(answer: HttpResponse) -> bool:
-    return EVENT_STREAM in answer.headers.get('content-type', '')
+def _is_stream(response: HttpResponse) -> bool:
+    return EVENT_STREAM in response.headers.get('content-type', '')
 
 
-def _broken() -> Unknown:
+def _upstream_broken() -> Unknown:
     return Unknown(
         HTTPStatus.BAD_GATEWAY,
         'upstream_broken',
@@ -198,8 +210,8 @@
     )
 
 
-def too_late() -> Unknown:
-    """Say that the deadline passed while the request ran."""
+def deadline_passed_during_run() -> Unknown:
+    """Make the failure for a deadline that passed while the request ran."""
     return Unknown(
         HTTPStatus.GATEWAY_TIMEOUT,
         'deadline_passed',
@@ -208,17 +220,19 @@
 
 
 def without_hop_by_hop(headers: Headers) -> dict[str, str]:
-    """Drop the fields that concern one connection only."""
+    """Remove the headers that apply to a single connection."""
     return {
-        name: text for name, text in headers.items() if name not in HOP_BY_HOP
+        name: text
+        for name, text in headers.items()
+        if name not in HOP_BY_HOP_HEADERS
     }
 
 
-def _to_upstream(admission: Admission) -> HttpRequest:
+def _make_upstream_request(admission: Admission) -> HttpRequest:
     headers = {
         name: text
         for name, text in without_hop_by_hop(admission.request.headers).items()
-        if name not in WITHHELD
+        if name not in WITHHELD_HEADERS
     }
     headers[HEADER_REQUEST_ID] = admission.request_id
     if admission.is_stream:
@@ -226,7 +240,7 @@
     return admission.request._replace(path=admission.path, headers=headers)
 
 
-def _to_caller(headers: Headers, request_id: str) -> Headers:
+def _make_caller_headers(headers: Headers, request_id: str) -> Headers:
     return {
         **without_hop_by_hop(headers),
         HEADER_OUTCOME: Outcome.RAN.value,
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -1,4 +1,4 @@
-"""Which part answers a request that has been read."""
+"""Routes a request to the code that answers it."""
 
 from http import HTTPStatus
 from typing import Final
@@ -50,7 +50,7 @@
 ) -> None:
     request_id = new_id()
     if request.path in COMPLETION_PATHS:
-        admitted = _admit_completion(parts, request, request_id)
+        admitted = _admit_completion_call(parts, request, request_id)
     elif request.path.startswith(PLAIN_PREFIX):
         admitted = admit_plain(parts.configuration, request, request_id)
     else:
@@ -65,7 +65,7 @@
     await async_answer_admitted(parts, admitted.ok_value, caller)
 
 
-def _admit_completion(
+def _admit_completion_call(
     parts: Answering,
     request: HttpRequest,
     request_id: str,
@@ -82,6 +82,6 @@
 
 
 def refuse_unreadable(bad: BadRequest) -> HttpResponse:
-    """Make the response to a request that can't be read."""
+    """Make the response to a request that can't be parsed."""
     refusal = bad_request(bad.detail, 'unreadable')._replace(status=bad.status)
     return to_response(refusal, new_id())
