--- a/tests/request/test_bad_input.py
+++ b/tests/request/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Input that must get a clear error and leave the instance going."""
+"""Invalid input must get a specific error and not disturb the instance."""
 
 import json
 
@@ -28,7 +28,7 @@
     )
 
 
-def _changed(**changes: object) -> bytes:
+def _body_with(**changes: object) -> bytes:
     return json.dumps({**GOOD, **changes}).encode()
 
 
@@ -36,33 +36,38 @@
     ('not JSON', _post(b'{"model":'), 400, 'bad_request'),
     ('too deep', _post(DEEP), 400, 'bad_request'),
     ('no object', _post(b'[]'), 400, 'bad_request'),
-    ('wrong type', _post(_changed(max_tokens='many')), 400, 'bad_request'),
-    ('no messages', _post(_changed(messages=[])), 400, 'bad_request'),
-    ('two prompts', _post(_changed(prompt='a')), 400, 'bad_request'),
-    ('no model', _post(_changed(model='oak')), 404, 'unknown_service'),
-    ('plain service', _post(_changed(model='counter')), 404, 'unknown_service'),
-    ('no key', _post(_changed(), authorization=''), 401, 'unauthorized'),
+    ('wrong type', _post(_body_with(max_tokens='many')), 400, 'bad_request'),
+    ('no messages', _post(_body_with(messages=[])), 400, 'bad_request'),
+    ('two prompts', _post(_body_with(prompt='a')), 400, 'bad_request'),
+    ('no model', _post(_body_with(model='oak')), 404, 'unknown_service'),
+    (
+        'plain service',
+        _post(_body_with(model='counter')),
+        404,
+        'unknown_service',
+    ),
+    ('no key', _post(_body_with(), authorization=''), 401, 'unauthorized'),
     (
         'wrong key',
-        _post(_changed(), authorization='Bearer x'),
+        _post(_body_with(), authorization='Bearer x'),
         401,
         'unauthorized',
     ),
     (
         'no tier',
-        _post(_changed(), **{HEADER_TIER: 'royal'}),
+        _post(_body_with(), **{HEADER_TIER: 'royal'}),
         400,
         'unknown_tier',
     ),
     (
         'bad deadline',
-        _post(_changed(), hornbeamdeck_deadline_ms='soon'),
+        _post(_body_with(), hornbeamdeck_deadline_ms='soon'),
         400,
         'bad_request',
     ),
     (
         'GET',
-        _post(_changed())._replace(method='GET'),
+        _post(_body_with())._replace(method='GET'),
         405,
         'method_not_allowed',
     ),
@@ -88,22 +93,22 @@
 
 
 @on_fleet(ONE)
-async def test_each_bad_request_gets_its_word(fleet: Fleet) -> None:
-    """Clients of every kind send requests that can't be served. Each is told
-    in a stable code what is wrong, and that nothing ran.
+async def test_each_bad_request_gets_its_code(fleet: Fleet) -> None:
+    """Guards against invalid requests that get a vague error or reach an
+    upstream. Each must get its stable code and the outcome `not_run`.
     """
     address = fleet.instances[0].own.address
     for name, request, status, code in CASES:
         response = await async_fetch(address, request)
         problem = json.loads(response.body)
-        seen = (response.status, problem['type'])
-        assert seen == (status, f'urn:hornbeamdeck:{code}'), name
+        received = (response.status, problem['type'])
+        assert received == (status, f'urn:hornbeamdeck:{code}'), name
         assert response.headers[HEADER_OUTCOME] == 'not_run', name
     assert fleet.engines[0].batch.records.runs == {}
     assert fleet.booking.runs == {}
 
 
-async def _async_raw(address: Address, sent: bytes) -> bytes:
+async def _async_send_raw(address: Address, sent: bytes) -> bytes:
     connected = await async_connect(address, timeout_ms=1000)
     sock = connected.unwrap()
     async with sock:
@@ -118,19 +123,24 @@
 
 
 @on_fleet(ONE)
-async def test_unreadable_bytes_leave_the_instance_going(fleet: Fleet) -> None:
-    """Scanners and broken proxies send what is no HTTP, headers without end,
-    or less of a body than they announced. The next caller must notice nothing.
+async def test_malformed_bytes_do_not_disturb_the_instance(
+    fleet: Fleet,
+) -> None:
+    """Guards against malformed bytes that disturb later callers. Scanners and
+    broken proxies send data that is not HTTP, endless headers, or a body that
+    is shorter than announced.
     """
     address = fleet.instances[0].own.address
     head = b'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n'
     endless = b'GET / HTTP/1.1\r\nx: ' + b'a' * 70_000
     large = head + b'content-length: 5000000\r\n\r\n' + b'a' * 5_000_000
-    assert b' 400 ' in await _async_raw(address, b'\x16\x03\x01 hello\r\n\r\n')
-    assert b' 431 ' in await _async_raw(address, endless)
-    assert b' 413 ' in await _async_raw(address, large)
+    assert b' 400 ' in await _async_send_raw(
+        address, b'\x16\x03\x01 hello\r\n\r\n'
+    )
+    assert b' 431 ' in await _async_send_raw(address, endless)
+    assert b' 413 ' in await _async_send_raw(address, large)
     cut = head + b'content-length: 9\r\n\r\n{'
-    assert b' 400 ' in await _async_raw(address, cut)
+    assert b' 400 ' in await _async_send_raw(address, cut)
     assert (await async_call(desk_entry(), 1, address)).is_whole
 
 
@@ -139,14 +149,15 @@
     [b'\x00\x00\x00\x05hello', b'\xff\xff\xff\xff', b'GET / HTTP/1.1\r\n\r\n'],
 )
 def test_malformed_peer_frame_ends_its_connection(sent: bytes) -> None:
-    """Something that is no instance connects to the port for peers. It loses
-    its connection; callers and true peers notice nothing.
+    """Guards against a malformed frame on the peer port that disturbs other
+    connections. A client that is not an instance connects there; only its own
+    connection is closed.
     """
 
     @on_fleet(ONE)
     async def _scenario(fleet: Fleet) -> None:
         own = fleet.instances[0].own
-        await _async_raw(own.peer_address, sent)
+        await _async_send_raw(own.peer_address, sent)
         assert (await async_call(desk_entry(), 1, own.address)).is_whole
 
     _scenario()
--- a/tests/request/test_claim.py
+++ b/tests/request/test_claim.py
@@ -1,4 +1,4 @@
-"""The claim protocol under interleavings of sends, faults and deaths."""
+"""The claim protocol under interleaved sends, store faults and crashes."""
 
 from typing import Any
 from unittest import mock
@@ -15,7 +15,7 @@
 
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.process.background import Background
-from hornbeamdeck.request import claim as module
+from hornbeamdeck.request import claim as claim_module
 from hornbeamdeck.request.claim import Claims
 from hornbeamdeck.request.claim_record import ClaimCall
 from hornbeamdeck.request.once import Once, Recorded
@@ -23,30 +23,31 @@
 from tests.fakes import DOWN, LOST, FakePlatform
 
 KEY = 'claims/counter/families/huelgoat'
-RECEIPT = b'receipt'
-TRIES = 6
+BOOKING_BODY = b'receipt'
+MAX_DEADLINE_READS = 6
 
 
-class Families(RuleBasedStateMachine):
-    """One booking is sent to many instances, again and again.
+class RepeatedBookings(RuleBasedStateMachine):
+    """Guards against a booking that runs, and is charged, twice.
 
-    Some instances die between claim and run or between run and record; the
-    platform fails before or after its writes take effect.
+    One booking is sent repeatedly to many instances. Some instances crash
+    between claim and run or between run and record. The store fails before or
+    after its writes take effect.
     """
 
     def __init__(self) -> None:
-        """Start with a platform and nothing sent."""
+        """Start with an empty store and nothing sent."""
         super().__init__()
         self.platform = FakePlatform()
         self.runs = 0
         self.held: list[Once] = []
         self.ran: list[Once] = []
-        self.told_not_run = 0
-        self.told_ran = 0
+        self.not_run_responses = 0
+        self.replayed_responses = 0
 
     @rule(fault=st.sampled_from(('', '', LOST, DOWN)))
-    def platform_changes(self, fault: str) -> None:
-        """Have the platform fail, or work again."""
+    def change_store_fault(self, fault: str) -> None:
+        """Make the store fail, or work again."""
         self.platform.fault = fault
 
     @rule(
@@ -55,77 +56,79 @@
         calls=st.sampled_from((0, 0, 1, 3, 4)),
     )
     def send(self, other: bool, fault: str, calls: int) -> None:
-        """Send the booking, or another one under its key, to an instance.
+        """Send the booking, or another one with the same key, to an instance.
 
-        The platform fails in the first calls that this takes.
+        The store fails in the first calls that this causes.
         """
         self.platform.coming = [fault] * calls
         fingerprint = 'other' if other else 'same'
-        taken = self._run(self._async_send(fingerprint))
-        if taken.is_err():
-            failure = taken.unwrap_err()
-            self.told_not_run += failure.outcome == Outcome.NOT_RUN
+        claimed = self._run(self._async_send(fingerprint))
+        if claimed.is_err():
+            failure = claimed.unwrap_err()
+            self.not_run_responses += failure.outcome == Outcome.NOT_RUN
             return
-        match taken.unwrap():
+        match claimed.unwrap():
             case Once() as once:
                 self.held.append(once)
             case Recorded(response):
-                assert response.body == RECEIPT
+                assert response.body == BOOKING_BODY
                 assert self.runs == 1
-                self.told_ran += 1
+                self.replayed_responses += 1
 
     @precondition(lambda self: self.held)
     @rule()
     def dispatch(self) -> None:
-        """Run the booking under a right that was given."""
+        """Run the booking under a right that was granted."""
         self.runs += 1
         self.ran.append(self.held.pop())
 
     @precondition(lambda self: self.held)
     @rule()
     def release(self) -> None:
-        """Give a right up: no upstream took the call."""
+        """Release a right, as after a call that no upstream accepted."""
         self._run(self.held.pop().release())
 
     @precondition(lambda self: self.held)
     @rule()
-    def die_before_the_run(self) -> None:
-        """Lose an instance that held a right."""
+    def crash_before_the_run(self) -> None:
+        """Crash an instance that holds a right."""
         self.held.pop()
 
     @precondition(lambda self: self.ran)
     @rule()
     def record(self) -> None:
-        """Keep the outcome."""
-        response = HttpResponse(201, {}, RECEIPT)
+        """Record the outcome of a run."""
+        response = HttpResponse(201, {}, BOOKING_BODY)
         self._run(self.ran.pop().record(response))
 
     @precondition(lambda self: self.ran)
     @rule()
-    def die_before_the_record(self) -> None:
-        """Lose an instance that has run the booking."""
+    def crash_before_the_record(self) -> None:
+        """Crash an instance that has run the booking."""
         self.ran.pop()
 
     @invariant()
     def runs_at_most_once(self) -> None:
-        """Check that no family is charged twice, now or in a moment."""
+        """Check that at most one run has happened or is still permitted."""
         assert self.runs + len(self.held) <= 1
 
     async def _async_send(self, fingerprint: str) -> Any:
-        tries = iter(range(TRIES))
+        deadline_reads = iter(range(MAX_DEADLINE_READS))
         call = mock.Mock(spec=ClaimCall)
         call.object_key = KEY
         call.fingerprint = fingerprint
-        # Each look at the time left brings the deadline nearer.
+        # Each read of the time left brings the deadline nearer.
         type(call).left_ms = mock.PropertyMock(
-            side_effect=lambda: 10_000 if next(tries, None) is not None else 0,
+            side_effect=lambda: (
+                10_000 if next(deadline_reads, None) is not None else 0
+            ),
         )
         background = Background()
         claims = Claims(self.platform, background)  # type: ignore[arg-type]
-        taken = await claims.async_claim(call)
+        claimed = await claims.async_claim(call)
         while background.pending:
             await curio.sleep(0)
-        return taken
+        return claimed
 
     def _run(self, work: Any) -> Any:
         async def _async_work() -> Any:
@@ -137,14 +140,16 @@
             await curio.sleep(0)
 
         with (
-            mock.patch.object(module, 'sleep', _async_no_sleep),
-            mock.patch.object(module, 'now_ms', lambda: next(clock) * 10_000),
+            mock.patch.object(claim_module, 'sleep', _async_no_sleep),
+            mock.patch.object(
+                claim_module, 'now_ms', lambda: next(clock) * 10_000
+            ),
         ):
             return curio.run(_async_work)
 
 
-TestFamilies = Families.TestCase
-TestFamilies.settings = settings(
+TestRepeatedBookings = RepeatedBookings.TestCase
+TestRepeatedBookings.settings = settings(
     max_examples=150,
     stateful_step_count=25,
     deadline=None,
--- a/tests/request/test_issued_key.py
+++ b/tests/request/test_issued_key.py
@@ -28,9 +28,9 @@
     )
 
 
-def test_own_key_is_read_back() -> None:
-    read = read_key(_issue(), team='families', secret=SECRET).unwrap()
-    assert (read.instance_id, read.incarnation) == ('i', 'x')
+def test_issued_key_is_decoded() -> None:
+    decoded = read_key(_issue(), team='families', secret=SECRET).unwrap()
+    assert (decoded.instance_id, decoded.incarnation) == ('i', 'x')
 
 
 def test_key_of_another_team_is_refused() -> None:
@@ -38,32 +38,34 @@
 
 
 @given(st.integers(0, 400), st.characters(codec='utf-8'))
-def test_changed_key_is_refused(place: int, letter: str) -> None:
-    """A caller changes a key that it was given, to have a call run under an
-    incarnation of its choice. Only keys with a whole signature are heeded.
+def test_changed_key_is_refused(position: int, letter: str) -> None:
+    """Guards against a caller that changes an issued key so that a call runs
+    under an incarnation of its choice. Only keys with an intact signature are
+    accepted.
     """
     key = _issue()
-    place %= len(key)
-    changed = key[:place] + letter + key[place + 1 :]
+    position %= len(key)
+    changed = key[:position] + letter + key[position + 1 :]
     if changed != key and is_issued(changed):
         assert read_key(changed, team='families', secret=SECRET).is_err()
 
 
-async def _async_key(instance: Instance) -> str:
+async def _async_request_key(instance: Instance) -> str:
     request = HttpRequest('POST', '/v1/idempotency-keys', '', FAMILIES, b'')
     response = await async_fetch(instance.own.address, request)
     return str(json.loads(response.body)['idempotency_key'])
 
 
 @on_fleet(PLAN)
-async def test_bookings_go_on_while_the_platform_is_down(
+async def test_bookings_continue_while_the_store_is_down(
     fleet: Fleet,
 ) -> None:
-    """The platform is down all morning. A family books with a key from the
-    system, and sends the booking again to the other instances: it is made
-    once, everybody tells the same, and the platform is not asked.
+    """Guards against bookings that depend on the store. While the store is
+    down, a booking with an issued key is sent to one instance and resent to the
+    others. It runs once, all return the same outcome, and no claim is sent to
+    the store.
     """
-    key = await _async_key(fleet.instances[0])
+    key = await _async_request_key(fleet.instances[0])
     fleet.platform.switches = fleet.platform.switches._replace(is_down=True)
     before = fleet.platform.calls.get('claims', 0)
     entry = booking_entry(key)
@@ -76,10 +78,10 @@
 
 
 @on_fleet(PLAN)
-async def test_issued_key_sent_at_once_to_all_runs_once(
+async def test_issued_key_sent_to_all_instances_at_once_runs_once(
     fleet: Fleet,
 ) -> None:
-    key = await _async_key(fleet.instances[0])
+    key = await _async_request_key(fleet.instances[0])
     async with TaskGroup() as calls:
         for instance in fleet.instances * 3:
             address = instance.own.address
@@ -89,13 +91,16 @@
 
 
 @on_fleet(PLAN)
-async def test_key_of_a_dead_instance_is_run_by_nobody(fleet: Fleet) -> None:
-    """The instance that issued a key has died, with it the memory of what ran.
-    Another one that ran the booking could charge the family a second time; it
-    says `unknown` instead.
+async def test_key_of_a_crashed_instance_is_not_run_elsewhere(
+    fleet: Fleet,
+) -> None:
+    """Guards against a second run of a booking. The instance that issued the
+    key has crashed, and its record of what ran is lost. Another instance that
+    ran the booking could charge the customer twice; it returns `unknown`
+    instead.
     """
     issuer = fleet.instances[0]
-    key = await _async_key(issuer)
+    key = await _async_request_key(issuer)
     await issuer.async_kill()
     record = await async_call(
         booking_entry(key),
@@ -108,10 +113,10 @@
 
 @on_fleet(PLAN)
 async def test_key_used_for_another_call_is_refused(fleet: Fleet) -> None:
-    """An app uses one key for two different bookings. The second family must
-    not be given the first one's confirmation.
+    """Guards against a client that uses one key for two different bookings. The
+    second customer must not get the confirmation of the first.
     """
-    key = await _async_key(fleet.instances[0])
+    key = await _async_request_key(fleet.instances[0])
     address = fleet.instances[0].own.address
     first = await async_call(booking_entry(key), 1, address)
     other = booking_entry(key)._replace(path='/bookings/special')
--- a/tests/request/test_stock_client.py
+++ b/tests/request/test_stock_client.py
@@ -1,4 +1,4 @@
-"""The openai package from PyPI, unmodified, against an instance."""
+"""The unmodified openai package from PyPI works against an instance."""
 
 import threading
 
@@ -21,16 +21,16 @@
     )
 
 
-def _ask(client: openai.OpenAI) -> str:
-    answer = client.chat.completions.create(
+def _complete_chat(client: openai.OpenAI) -> str:
+    response = client.chat.completions.create(
         model='desk',
         messages=[{'role': 'user', 'content': PROMPT}],
         max_tokens=TOKENS,
     )
-    return answer.choices[0].message.content or ''
+    return response.choices[0].message.content or ''
 
 
-def _ask_stream(client: openai.OpenAI) -> str:
+def _stream_chat(client: openai.OpenAI) -> str:
     stream = client.chat.completions.create(
         model='desk',
         messages=[{'role': 'user', 'content': PROMPT}],
@@ -41,19 +41,19 @@
 
 
 def _complete(client: openai.OpenAI) -> str:
-    answer = client.completions.create(
+    response = client.completions.create(
         model='desk',
         prompt=PROMPT,
         max_tokens=TOKENS,
     )
-    return answer.choices[0].text
+    return response.choices[0].text
 
 
 def _list_models(client: openai.OpenAI) -> list[str]:
     return [model.id for model in client.models.list()]
 
 
-def test_stock_client_works_unmodified() -> None:
+def test_unmodified_openai_client_works() -> None:
     ready = threading.Event()
     done = curio.UniversalEvent()
     addresses: list[object] = []
@@ -71,8 +71,8 @@
     expected = expected_answer(PROMPT, TOKENS)
     try:
         client = _client(addresses[0])
-        assert _ask(client) == expected
-        assert _ask_stream(client) == expected
+        assert _complete_chat(client) == expected
+        assert _stream_chat(client) == expected
         assert _complete(client) == expected
         assert _list_models(client) == ['desk']
     finally:
