--- a/hornbeamdeck/process/__init__.py
+++ b/hornbeamdeck/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Components whose lifetime is that of the process."""
--- a/hornbeamdeck/process/background.py
+++ b/hornbeamdeck/process/background.py
@@ -1,4 +1,4 @@
-"""Short work that outlives the request that began it."""
+"""Short background tasks that outlive the request that started them."""
 
 from collections.abc import Coroutine
 from typing import Any
@@ -12,21 +12,21 @@
 
 
 class Background:
-    """Keeps track of such work, so that a planned stop can wait for it."""
+    """Counts running background tasks, so that a shutdown can await them."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without tasks."""
         self._pending = 0
 
     @property
     def pending(self) -> int:
-        """Count the pieces of work that are not done."""
+        """Return the number of unfinished tasks."""
         return self._pending
 
     async def async_spawn(self, work: Coroutine[Any, Any, Any]) -> Task:
-        """Start a piece of work.
+        """Start a background task.
 
-        :returns: its task, for who wants to wait for it.
+        :returns: the task, which the caller may join.
         """
         self._pending += 1
         return await spawn(self._async_run, work, daemon=True)
@@ -35,7 +35,7 @@
         try:
             return await work
         except Exception:
-            _LOGGER.exception('background work failed')
+            _LOGGER.exception('background task failed')
             raise
         finally:
             self._pending -= 1
--- a/hornbeamdeck/process/backoff.py
+++ b/hornbeamdeck/process/backoff.py
@@ -1,4 +1,4 @@
-"""Jittered exponential backoff, one way for all that is tried again."""
+"""Exponential backoff with jitter, shared by all retry loops."""
 
 import random
 from collections.abc import Iterator
@@ -15,12 +15,12 @@
     first_s: float = DEFAULT_FIRST_S,
     max_s: float = DEFAULT_MAX_S,
 ) -> Iterator[float]:
-    """Give waits, seconds: doubling up to a bound, each drawn at random.
+    """Yield random delays in seconds; their limit doubles up to `max_s`.
 
-    Hundreds of processes lose the platform in the same moment. Without the
-    jitter they would all come back in the same moment too, again and again.
+    Hundreds of processes lose the connection to the store at the same time.
+    Without jitter they would all retry at the same time, after every failure.
     """
-    bound_s = first_s
-    while bound_s > 0:
-        yield random.uniform(bound_s / 2, bound_s)
-        bound_s = min(bound_s * 2, max_s)
+    limit_s = first_s
+    while limit_s > 0:
+        yield random.uniform(limit_s / 2, limit_s)
+        limit_s = min(limit_s * 2, max_s)
--- a/hornbeamdeck/process/engine_book.py
+++ b/hornbeamdeck/process/engine_book.py
@@ -1,9 +1,9 @@
-"""Engines as the store lists them, through the store's outages.
+"""The store's list of engines, with entries retained across store outages.
 
-While the store is down, engines can't renew their entries and those lapse. On
-its return a list without them says nothing of the engines: whoever lives is
-back on it within about two seconds. Taken at its word it would leave a fleet
-of healthy engines without work.
+During a store outage, engines can't renew their entries, so the entries
+expire. After the outage, a list without them does not mean that the engines
+are down: running engines register again within about two seconds. If the list
+were applied as it is, a fleet of healthy engines would get no work.
 """
 
 import math
@@ -15,70 +15,77 @@
 
 __all__ = ('EngineBook',)
 
-# An entry that lapsed is back within this time of the store's return.
-RETURN_MS: Final = 2000
-# The store was away if no instance has heard of it for so long. Engines lapse
-# after three missed writes, so a shorter silence lets none lapse; a proof that
-# comes from a reader among the peers is rarely older than half of this.
-AWAY_MS: Final = 2000
+# After an outage of the store, engines whose entries expired register again
+# within this time.
+RETENTION_MS: Final = 2000
+# If the fleet's last freshness confirmation is older than this, the store is
+# taken to have been down. An engine's entry expires after three missed writes,
+# so no entry expires in a shorter outage. A confirmation from a peer that
+# reads the store is rarely older than half of this.
+OUTAGE_MS: Final = 2000
 
 
 class EngineBook:
-    """The entries of the store, and those that are missed for a moment."""
+    """The store's engine entries, and those retained after an outage."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without entries."""
         self._entries: dict[str, Engine] = {}
-        self._missed: dict[str, Engine] = {}
-        self._return_ms = -math.inf
+        self._retained: dict[str, Engine] = {}
+        self._recovered_ms = -math.inf
 
-    def replace(
+    def apply_list(
         self,
         listed: Iterable[EngineChange],
-        known: Mapping[str, Engine],
+        current: Mapping[str, Engine],
         *,
-        proof_age_ms: float,
+        confirmation_age_ms: float,
         now: float,
     ) -> None:
-        """Take over a whole list.
+        """Replace all entries by a complete list.
 
-        The store turns some instances away and serves others. To one that was
-        turned away its return looks like the end of an outage, and what left
-        meanwhile like what lapsed; kept for a moment, engines that have left
-        would get work again. So only what the whole fleet has heard counts:
-        the engines that its readers told of, and the age of their last proof.
+        The store may reject the calls of some instances while it serves
+        others. To an instance whose calls were rejected, the first successful
+        read looks like the end of an outage, and engines that were removed
+        meanwhile look like engines whose entries expired. If these were
+        retained, removed engines would get work again. The decision therefore
+        uses only what the whole fleet has received: the engines that the
+        instances reading the store have reported, and the age of their last
+        freshness confirmation.
 
-        :param known: the engines that were in use until now.
-        :param proof_age_ms: how old the fleet's last proof is that `known`
-            was current.
+        :param current: the engines that were in use until now.
+        :param confirmation_age_ms: age of the fleet's last confirmation that
+            `current` matched the store.
         """
-        if proof_age_ms > AWAY_MS:
-            self._return_ms = now
+        if confirmation_age_ms > OUTAGE_MS:
+            self._recovered_ms = now
         self._entries = {
             change.name: change.engine
             for change in listed
             if change.engine is not None
         }
-        for name in known.keys() - self._entries.keys():
-            self._miss(known[name], now)
+        for name in current.keys() - self._entries.keys():
+            self._retain(current[name], now)
 
-    def change(self, changes: Iterable[EngineChange], now: float) -> None:
-        """Take over what a watch has seen."""
+    def apply_changes(
+        self, changes: Iterable[EngineChange], now: float
+    ) -> None:
+        """Apply the changes that a watch returned."""
         for change in changes:
-            before = self._entries.pop(change.name, None)
+            previous = self._entries.pop(change.name, None)
             if change.engine is not None:
                 self._entries[change.name] = change.engine
-            elif before is not None:
-                self._miss(before, now)
+            elif previous is not None:
+                self._retain(previous, now)
 
-    def engines(self, now: float) -> dict[str, Engine]:
-        """List the engines to be used."""
-        if now - self._return_ms > RETURN_MS:
-            self._missed.clear()
+    def usable_engines(self, now: float) -> dict[str, Engine]:
+        """Return the engines that may get work, by name."""
+        if now - self._recovered_ms > RETENTION_MS:
+            self._retained.clear()
         for name in self._entries:
-            self._missed.pop(name, None)
-        return {**self._missed, **self._entries}
+            self._retained.pop(name, None)
+        return {**self._retained, **self._entries}
 
-    def _miss(self, engine: Engine, now: float) -> None:
-        if now - self._return_ms <= RETURN_MS and not engine.is_leaving:
-            self._missed[engine.name] = engine
+    def _retain(self, engine: Engine, now: float) -> None:
+        if now - self._recovered_ms <= RETENTION_MS and not engine.is_leaving:
+            self._retained[engine.name] = engine
--- a/hornbeamdeck/process/engine_cells.py
+++ b/hornbeamdeck/process/engine_cells.py
@@ -1,4 +1,4 @@
-"""The engine cells of this process, kept in step with what the store says."""
+"""The engine cells of this process, updated from what the store returns."""
 
 from collections.abc import Mapping
 
@@ -19,7 +19,7 @@
 
 
 class EngineCells:
-    """One cell for each service, all under the scheduler of this process."""
+    """Creates and updates one cell per service in this process's scheduler."""
 
     def __init__(
         self,
@@ -28,38 +28,41 @@
         bounds: Bounds,
         quotas: TokenQuotas,
     ) -> None:
-        """Start without cells; `adopt` brings them."""
+        """Start without cells; `adopt` creates them."""
         self.quotas = quotas
         self._scheduler = scheduler
         self._directory = directory
         self._bounds = bounds
         self._shared = Shared(quotas=quotas, teams={})
         self._cells: dict[str, EngineCell] = {}
-        self._learned: dict[str, float] = {}
+        self._reported_slowness: dict[str, float] = {}
         self._configuration = RoutedConfiguration.empty()
 
     def adopt(self, configuration: RoutedConfiguration) -> None:
-        """Take over a new configuration."""
+        """Apply a new configuration."""
         self._configuration = configuration
         self._shared.teams.clear()
         self._shared.teams.update(configuration.teams)
         self.refresh()
 
     def refresh(self) -> None:
-        """Take over the list of engines as it is now."""
+        """Apply the current list of engines to the cells."""
         for service, traits in self._configuration.services.items():
             cell = self._cells.get(service)
             if cell is None:
-                cell = EngineCell(self._shared, self._budget())
+                cell = EngineCell(self._shared, self._make_retry_budget())
                 self._cells[service] = cell
                 self._scheduler.cells[service] = cell
             engines = self._directory.of_service(service)
-            cell.adopt(engines, traits, self._learned)
+            cell.adopt(engines, traits, self._reported_slowness)
 
     def slowness(self) -> dict[str, float]:
-        """Tell what is known of each engine's speed."""
+        """Return the slowness of each engine by name.
+
+        Own measurements replace values that another owner reported.
+        """
         return {
-            **self._learned,
+            **self._reported_slowness,
             **{
                 name: load.slowness
                 for cell in self._cells.values()
@@ -68,7 +71,7 @@
         }
 
     def log_load(self) -> None:
-        """Write what the owner knows of its engines, for who asks later."""
+        """Log the load of each cell's engines, for later analysis."""
         for service, cell in self._cells.items():
             _LOGGER.info(
                 'load',
@@ -80,11 +83,11 @@
                 },
             )
 
-    def learn_slowness(self, learned: Mapping[str, float]) -> None:
-        """Take over what another owner has learned."""
-        self._learned.update(learned)
+    def learn_slowness(self, reported: Mapping[str, float]) -> None:
+        """Record the slowness values that another owner reported."""
+        self._reported_slowness.update(reported)
 
-    def _budget(self) -> RetryBudget:
+    def _make_retry_budget(self) -> RetryBudget:
         return RetryBudget(
             ratio=self._bounds.retry_ratio,
             slack=self._bounds.retry_slack,
--- a/hornbeamdeck/process/engine_directory.py
+++ b/hornbeamdeck/process/engine_directory.py
@@ -1,4 +1,4 @@
-"""Which engines there are, as the store tells it, and how current that is."""
+"""The engines listed in the store, and when that list was last confirmed."""
 
 from collections.abc import Iterable, Mapping
 from typing import Final, NamedTuple
@@ -10,18 +10,19 @@
 __all__ = ('Engine', 'EngineDirectory', 'from_wire')
 
 UNIT_SLOWNESS: Final = 1.0
-# Versions for lists read at one revision of the store; they differ while
-# engines are missed for a moment after an outage.
-LISTS_PER_REVISION: Final = 1024
-# Names of engines that are gone are kept for grants that are still on the way.
-REMEMBERED_GONE: Final = 1024
+# Number of versions available for lists read at one revision of the store.
+# Lists of one revision differ while engines are retained after an outage.
+VERSIONS_PER_REVISION: Final = 1024
+# Names of removed engines are kept because grants for them may still be in
+# transit.
+MAX_REMOVED_ENGINES: Final = 1024
 
 
 class Engine(NamedTuple):
     """One incarnation of an upstream.
 
-    :param name: its id; together with `born_ms` it names an incarnation.
-    :param slots: requests that it works on at once.
+    :param name: its id; `name` and `born_ms` together identify an incarnation.
+    :param slots: how many requests it processes concurrently.
     """
 
     name: str
@@ -34,74 +35,75 @@
 
 
 class EngineDirectory:
-    """The engines known here; what is newer replaces what is older.
+    """The newest list of engines that this process has received.
 
-    Several instances read the store, each at its own pace. Versions follow the
-    store's revisions, so that a list which arrives late never replaces one that
+    Several instances read the store independently. Versions are derived from
+    the store's revisions, so a list that arrives late never replaces one that
     was read after it.
     """
 
     def __init__(self) -> None:
-        """Start without any; `version` 0 means that nothing was read."""
+        """Start without engines; `version` 0 means that no list was read."""
         self.version = 0
         self.engines: Mapping[str, Engine] = {}
-        self._gone: dict[str, None] = {}
-        self._proofs = Freshness()
+        self._removed: dict[str, None] = {}
+        self._freshness = Freshness()
 
     @property
     def confirmed_ms(self) -> float:
-        """When somebody last asked to whom this list was current."""
-        return self._proofs.confirmed_ms(self.version)
+        """When the last request was sent that confirmed the current list."""
+        return self._freshness.confirmed_ms(self.version)
 
     def has_left(self, name: str) -> bool:
-        """Whether an engine has said that it leaves, or is no longer listed."""
+        """Whether an engine is draining or is no longer listed."""
         engine = self.engines.get(name)
         if engine is None:
-            return name in self._gone
+            return name in self._removed
         return engine.is_leaving
 
-    def version_at(self, revision: int) -> int | None:
-        """Give the version for a list that was read at a revision.
+    def version_for_revision(self, revision: int) -> int | None:
+        """Return the version for a list that was read at a store revision.
 
-        :returns: `None` where what is held was read at a later one.
+        :returns: `None` if the current list was read at a later revision.
         """
-        if revision < self.version // LISTS_PER_REVISION:
+        if revision < self.version // VERSIONS_PER_REVISION:
             return None
-        return max(revision * LISTS_PER_REVISION, self.version + 1)
+        return max(revision * VERSIONS_PER_REVISION, self.version + 1)
 
-    def confirm_at(self, revision: int, asked_ms: float) -> None:
-        """Note that what is held was current, as a read at a revision shows."""
-        newest = (revision + 1) * LISTS_PER_REVISION - 1
-        self.confirm(min(self.version, newest), asked_ms)
+    def confirm_revision(self, revision: int, requested_ms: float) -> None:
+        """Record that a read at a store revision confirmed the current list."""
+        newest = (revision + 1) * VERSIONS_PER_REVISION - 1
+        self.confirm(min(self.version, newest), requested_ms)
 
     def age_ms(self, now: float) -> float:
-        """Tell how old the last proof is that this is current."""
+        """Return the age of the last confirmation of the current list."""
         return now - self.confirmed_ms
 
-    def confirm(self, version: int, asked_ms: float) -> None:
-        """Note that a version was current when somebody asked.
+    def confirm(self, version: int, requested_ms: float) -> None:
+        """Record that a version was the newest when a request was sent.
 
-        :param asked_ms: when the question was sent, on this process's clock.
+        :param requested_ms: when the request was sent, on this process's
+            clock.
         """
-        self._proofs.confirm(version, asked_ms)
+        self._freshness.confirm(version, requested_ms)
 
     def adopt(self, version: int, engines: Iterable[Engine]) -> bool:
-        """Take over a list if it is newer.
+        """Replace the current list if the given one is newer.
 
-        :returns: whether it was.
+        :returns: whether it was newer.
         """
         if version <= self.version:
             return False
         listed = {engine.name: engine for engine in engines}
-        self._remember_gone(self.engines.keys() - listed.keys())
+        self._record_removed(self.engines.keys() - listed.keys())
         for name in listed:
-            self._gone.pop(name, None)
+            self._removed.pop(name, None)
         self.version = version
         self.engines = listed
         return True
 
     def of_service(self, service: str) -> list[Engine]:
-        """List the engines of one service."""
+        """Return the engines of one service."""
         return [
             engine
             for engine in self.engines.values()
@@ -109,7 +111,10 @@
         ]
 
     def to_wire(self, slowness: Mapping[str, float]) -> EngineList:
-        """Write the list for a peer, with what was learned of each engine."""
+        """Build the message for a peer.
+
+        :param slowness: by engine name.
+        """
         return EngineList(
             version=self.version,
             engines=[
@@ -127,16 +132,16 @@
             ],
         )
 
-    def _remember_gone(self, names: Iterable[str]) -> None:
-        self._gone.update(dict.fromkeys(names))
-        while len(self._gone) > REMEMBERED_GONE:
-            self._gone.pop(next(iter(self._gone)))
+    def _record_removed(self, names: Iterable[str]) -> None:
+        self._removed.update(dict.fromkeys(names))
+        while len(self._removed) > MAX_REMOVED_ENGINES:
+            self._removed.pop(next(iter(self._removed)))
 
 
 def from_wire(entry: EngineEntry) -> Engine:
-    """Read an engine that a peer told of.
+    """Build an engine from an entry that a peer sent.
 
-    :raises ValueError: where its address is none.
+    :raises ValueError: if the entry's address is invalid.
     """
     return Engine(
         name=entry.name,
--- a/hornbeamdeck/process/front_parts.py
+++ b/hornbeamdeck/process/front_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a front process, made once and wired together."""
+"""Creates and connects the components of a gateway process."""
 
 import uuid
 from collections.abc import Callable
@@ -47,8 +47,8 @@
 
 __all__ = ('FrontParts', 'FrontWires')
 
-# A lost instance is probed by beats every second and trusted again when it
-# answers; until then no request is to try it.
+# A lost instance gets a heartbeat every second and is used again when it
+# responds. Until then, no request is sent to it.
 SUSPECT_MS: Final = 30_000
 
 Follower: TypeAlias = ConfigurationFollower[RoutedConfiguration]
@@ -56,30 +56,31 @@
     [str, int],
     Result[RoutedConfiguration, tuple[object, ...]],
 ]
-EntriesPage: TypeAlias = Callable[
+EntriesEndpoint: TypeAlias = Callable[
     [HttpRequest, list[InstanceStatus], int],
     HttpResponse,
 ]
 
 
 class FrontWires(NamedTuple):
-    """What translates between a front process and its platform.
+    """The functions that adapt a gateway process to its platform.
 
     :param open_store: takes the store's address and a callback that counts
         calls by role.
-    :param parse: reads the text of a configuration of a version.
-    :param entries_page: answers a caller that asks where to connect, from the
-        usable instances and for how long, ms, the answer may be kept.
+    :param parse: parses a configuration document; takes its text and version.
+    :param entries_page: responds to a caller that requests the addresses to
+        connect to; takes the request, the usable instances and for how long,
+        in ms, the response may be cached.
     """
 
     open_store: Callable[[Address, Callable[[str], None]], StoreAccess]
     dialect: Dialect
     parse: Parse
-    entries_page: EntriesPage
+    entries_page: EntriesEndpoint
 
 
 class FrontParts(NamedTuple):
-    """Everything that a front process is made of, apart from its sockets."""
+    """All components of a gateway process except its sockets."""
 
     metrics: FrontMetrics
     store: StoreAccess
@@ -99,7 +100,7 @@
 
     @classmethod
     def from_settings(cls, settings: FrontSettings, wires: FrontWires) -> Self:
-        """Make all parts; nothing is opened yet."""
+        """Create all components; no address is opened yet."""
         metrics = FrontMetrics()
         store = wires.open_store(
             settings.platform_address,
@@ -114,7 +115,7 @@
         directory = EngineDirectory()
         reports = SpendingReports(settings.bounds.quota_window_ms)
         scheduler = Scheduler()
-        share: list[Callable[[], float]] = []
+        fleet_share: list[Callable[[], float]] = []
         readers: list[StoreReader] = []
         cells = EngineCells(
             scheduler,
@@ -124,7 +125,7 @@
                 QuotaView(
                     spent=reports.spent,
                     is_remembered=reports.is_complete,
-                    share=lambda: share[0](),
+                    share=lambda: fleet_share[0](),
                 ),
                 QuotaRules(
                     window_ms=settings.bounds.quota_window_ms,
@@ -134,7 +135,7 @@
             ),
         )
         follower = _make_follower(
-            _unless_lost(store, readers),
+            _make_configuration_read(store, readers),
             wires.parse,
             metrics,
             cells,
@@ -159,13 +160,13 @@
                 slowness=cells.slowness,
                 learn_slowness=cells.learn_slowness,
                 on_engines=cells.refresh,
-                is_store_reached=lambda: readers[0].is_reached,
+                is_store_reached=lambda: readers[0].is_store_reached,
                 is_first_start=settings.is_first_start,
             ),
         )
-        share.append(beats.attendance.share)
+        fleet_share.append(beats.attendance.share)
         grants = Grants(membership, peers, scheduler)
-        _listen(peers, beats, grants)
+        _register_handlers(peers, beats, grants)
         readers.append(
             StoreReader(
                 ReaderParts(
@@ -176,7 +177,7 @@
                     is_owner=lambda: _is_owner(membership),
                     is_owner_lost=lambda: beats.is_owner_lost,
                     version=identity.version,
-                    note=follower.async_note,
+                    on_document=follower.async_note,
                     on_engines=cells.refresh,
                 ),
             ),
@@ -221,19 +222,19 @@
     )
 
 
-def _unless_lost(
+def _make_configuration_read(
     store: StoreAccess,
     readers: list[StoreReader],
 ) -> ReadConfiguration:
-    """Read the store unless it is known to be away.
+    """Return a function that reads the store unless it is known to be down.
 
-    A newer version that a peer has told of is then asked of the peer at once,
-    not after the time that a silent store takes.
+    While the store is down, a newer version that a peer reported is then
+    requested from that peer without waiting for the store's timeout.
     """
 
     async def _async_read() -> Result[ConfigurationRead, PlatformDown]:
-        if not readers[0].is_reached:
-            return Err(PlatformDown('the last call was not answered'))
+        if not readers[0].is_store_reached:
+            return Err(PlatformDown('the last call to the store failed'))
         return await store.read_configuration()
 
     return _async_read
@@ -246,14 +247,18 @@
     cells: EngineCells,
 ) -> Follower:
     async def _async_fetch() -> Result[StoredObject | None, PlatformDown]:
-        got = await read_configuration()
-        if not isinstance(got, Ok):
-            return got
-        read = got.ok_value
-        if read.document is None:
+        response = await read_configuration()
+        if not isinstance(response, Ok):
+            return response
+        configuration = response.ok_value
+        if configuration.document is None:
             return Ok(None)
         return Ok(
-            StoredObject(KEY_CONFIGURATION, read.revision, read.document),
+            StoredObject(
+                KEY_CONFIGURATION,
+                configuration.revision,
+                configuration.document,
+            ),
         )
 
     async def _async_adopted(configuration: RoutedConfiguration) -> None:
@@ -284,16 +289,16 @@
     )
 
 
-def _listen(peers: Peers, beats: Beats, grants: Grants) -> None:
-    async def _async_received(peer_id: str, message: Message) -> None:
+def _register_handlers(peers: Peers, beats: Beats, grants: Grants) -> None:
+    async def _async_on_message(peer_id: str, message: Message) -> None:
         if isinstance(message, Beat | EngineList):
             grants.watch.heard(peer_id)
             await beats.async_receive(peer_id, message)
             return
         await grants.async_receive(peer_id, message)
 
-    async def _async_lost(peer_id: str) -> None:
+    async def _async_on_disconnect(peer_id: str) -> None:
         beats.forget_told(peer_id)
         await grants.async_owner_lost(peer_id)
 
-    peers.listen(_async_received, _async_lost)
+    peers.listen(_async_on_message, _async_on_disconnect)
--- a/hornbeamdeck/process/shared_read.py
+++ b/hornbeamdeck/process/shared_read.py
@@ -1,4 +1,4 @@
-"""One read of the store at a time, shared by all that wait for it."""
+"""A read of the store that concurrent requests share."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -11,20 +11,21 @@
 
 __all__ = ('SharedRead',)
 
-# A request waits no longer than this for a read: the store answers within
-# milliseconds, or is away.
-WAIT_MS: Final = 300
-# Between reads that fail. In an outage most requests do not wait at all.
+# Longest time that a request waits for a read. The store either responds
+# within milliseconds or is down.
+WAIT_TIMEOUT_MS: Final = 300
+# After a failed read, no new read starts for this time, so that most requests
+# do not wait at all during an outage.
 RETRY_MS: Final = 1000
 
 
 class SharedRead:
-    """A read that many requests may need at the same moment."""
+    """Runs at most one read at a time, for any number of waiting requests."""
 
     def __init__(self, read: Callable[[], Awaitable[bool]]) -> None:
-        """Read nothing yet.
+        """Create the shared read; nothing is read yet.
 
-        :param read: reads once, and tells whether the store has answered.
+        :param read: reads once and returns whether the store responded.
         """
         self._read = read
         self._done: Event | None = None
@@ -32,7 +33,7 @@
         self._failed_ms = -math.inf
 
     async def async_wait(self) -> None:
-        """Wait for a read to end, and start one where none is under way."""
+        """Wait until a read ends; starts one if none is in progress."""
         now = now_ms()
         done = self._done
         if done is None:
@@ -42,7 +43,7 @@
             self._done = done
             self._started_ms = now
             await spawn(self._async_run, done, daemon=True)
-        left_ms = self._started_ms + WAIT_MS - now
+        left_ms = self._started_ms + WAIT_TIMEOUT_MS - now
         if left_ms <= 0:
             return
         try:
--- a/hornbeamdeck/process/store_access.py
+++ b/hornbeamdeck/process/store_access.py
@@ -1,4 +1,4 @@
-"""What the process asks of the store, in the product's own types."""
+"""The interface to the store, in the product's own types."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, TypeAlias
@@ -19,10 +19,11 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """The stored configuration.
+    """The result of reading or watching the stored configuration.
 
-    :param revision: of the document, or asked from next in a watch.
-    :param document: its text; `None` where there is none, or no newer one.
+    :param revision: revision of the document, or the one from which the next
+        watch starts.
+    :param document: its text; `None` if there is no document or no newer one.
     """
 
     revision: int
@@ -30,9 +31,10 @@
 
 
 class EngineChange(NamedTuple):
-    """What the store holds under one engine's name.
+    """The current state of one engine's entry in the store.
 
-    :param engine: `None` where the entry is gone or names no usable engine.
+    :param engine: `None` if the entry was removed or describes no usable
+        engine.
     """
 
     name: str
@@ -40,9 +42,9 @@
 
 
 class EnginesRead(NamedTuple):
-    """All engines, or those that changed.
+    """The result of listing all engines, or of watching for changes.
 
-    :param at: the store's revision that this holds for.
+    :param at: the store's revision at the time of the read.
     """
 
     at: int
@@ -76,12 +78,12 @@
 
 
 class StoreAccess(NamedTuple):
-    """The calls to the store, as closures.
+    """The calls to the store, as functions.
 
-    :param watch_configuration: takes a revision and how long to wait, ms.
-    :param watch_engines: the same.
-    :param publish: writes the own status, whatever stands there.
-    :param withdraw: deletes it.
+    :param watch_configuration: takes a revision and the longest wait, ms.
+    :param watch_engines: takes the same arguments.
+    :param publish: writes this instance's status and overwrites an old one.
+    :param withdraw: deletes this instance's status.
     """
 
     read_configuration: ReadConfiguration
--- a/hornbeamdeck/process/store_entry.py
+++ b/hornbeamdeck/process/store_entry.py
@@ -1,4 +1,4 @@
-"""The entry in the store by which other instances find this one."""
+"""The store entry through which other instances discover this one."""
 
 from typing import Final
 
@@ -16,21 +16,25 @@
 
 _LOGGER = structlog.get_logger(prefix='entry')
 
-# Instances are listed again after this, for those that start at the same time;
-# from then on beats tell of new ones.
-LIST_AGAIN_MS: Final = 2000
+# Delay before the second listing, which finds instances that started at the
+# same time as this one. Later ones are discovered through heartbeats.
+SECOND_LISTING_DELAY_MS: Final = 2000
 
 
 class StoreEntry:
-    """Writes the own entry and reads the others'."""
+    """Writes this instance's entry and reads those of other instances."""
 
     def __init__(self, store: StoreAccess, membership: Membership) -> None:
-        """Take where to write and whom to tell."""
+        """Create the entry; nothing is written yet.
+
+        :param membership: provides this instance's status and is updated with
+            the instances that are listed in the store.
+        """
         self._store = store
         self._membership = membership
 
     async def async_publish(self) -> None:
-        """Write the own entry, until it is written."""
+        """Write this instance's entry; retries until the write succeeds."""
         waits = backoff_s()
         while True:
             written = await self._store.publish(self._membership.own)
@@ -39,15 +43,18 @@
             await sleep(next(waits))
 
     async def async_withdraw(self) -> None:
-        """Delete the own entry."""
-        gone = await self._store.withdraw(self._membership.own)
-        if isinstance(gone, Err):
-            _LOGGER.warning('own entry left behind', cause=gone.err_value.cause)
+        """Delete this instance's entry."""
+        deleted = await self._store.withdraw(self._membership.own)
+        if isinstance(deleted, Err):
+            _LOGGER.warning(
+                "could not delete this instance's entry in the store",
+                cause=deleted.err_value.cause,
+            )
 
     async def async_list(self) -> None:
-        """Read the entries of all instances, twice."""
+        """Read the entries of all instances twice, with a delay between."""
         await self._async_list_once()
-        await sleep(LIST_AGAIN_MS / MILLIS_PER_SECOND)
+        await sleep(SECOND_LISTING_DELAY_MS / MILLIS_PER_SECOND)
         await self._async_list_once()
 
     async def _async_list_once(self) -> None:
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -1,9 +1,10 @@
-"""Reads configuration and engines from the store, where that is due.
+"""Reads configuration and engines from the store when a read is due.
 
-The owner of the fleet's cells reads for all. Another instance reads only when
-what it has from the owner grows old: the owner may be cut off from the store,
-or turned away by it, while this one is not. Those further down the ranking wait
-longer, so that one of them is enough.
+The owner of the fleet's cells reads for all instances. Another instance reads
+only when the data that the owner sent is too old: the owner may be unable to
+reach the store, or have its calls rejected, while this instance is not
+affected. Instances further down the ranking wait longer, so that usually only
+one of them reads.
 """
 
 from collections.abc import Awaitable, Callable
@@ -30,40 +31,44 @@
 
 _LOGGER = structlog.get_logger(prefix='store')
 
-# How long the store holds a watch. A silent one is noticed a little later.
+# How long the store may hold a watch open. A store that does not respond is
+# detected a little later.
 WATCH_MS: Final = 500
-# Engines that start together write one after another; a pause gathers several
-# into one answer. After a watch that waited in vain there is none, or the list
-# would grow old enough for the others to read it for themselves.
-ENGINES_PAUSE_MS: Final = 350
-# Ages from which an instance that is not the owner reads for itself: keys must
-# be dead within seconds, leaving engines be left alone within two.
-CONFIGURATION_OLD_MS: Final = 1400
-ENGINES_OLD_MS: Final = 1200
-# The same once the owner has said that the store does not answer it.
-OWNER_LOST_MS: Final = 250
-# How much longer each rank waits before it reads for itself.
-RANK_MS: Final = 100
-MAX_RANK_MS: Final = 900
-# Between looks at whether reading is due: for the first ranks, which may own
-# the cells next, and for the others, which read a second later or not at all.
-LOOK_MS: Final = 50
-SLOW_LOOK_MS: Final = 250
-# Between tries at a store that does not answer or holds nothing yet. Each rank
-# waits a little longer: in an outage of 4.5 s a fleet of 15 made some 430 calls
-# while all tried at the owner's pace.
+# Engines that start at the same time write their entries one after another.
+# Waiting before the next watch collects several changes in one response. There
+# is no wait after a watch that ended without changes; with it, the list would
+# become so old that the other instances read it themselves.
+ENGINES_WATCH_GAP_MS: Final = 350
+# An instance that is not the owner reads the store itself when its data is
+# older than this. A revoked key must be refused everywhere within seconds, and
+# a draining engine must get no more requests after two seconds.
+CONFIGURATION_MAX_AGE_MS: Final = 1400
+ENGINES_MAX_AGE_MS: Final = 1200
+# The same limit after the owner has reported that the store does not respond.
+OWNER_LOST_MAX_AGE_MS: Final = 250
+# Additional wait per rank before an instance reads the store itself.
+RANK_DELAY_MS: Final = 100
+MAX_RANK_DELAY_MS: Final = 900
+# Intervals between checks whether a read is due. The first ranks, which may
+# become the next owners, check often. The others read up to a second later or
+# not at all, and check less often.
+CHECK_INTERVAL_MS: Final = 50
+SLOW_CHECK_INTERVAL_MS: Final = 250
+# Retry interval while the store does not respond or holds no data yet. Each
+# rank waits a little longer: in an outage of 4.5 s, a fleet of 15 made about
+# 430 calls when all instances retried at the owner's interval.
 RETRY_MS: Final = 300
 
 
 class ReaderParts(NamedTuple):
-    """What the reader reads from and tells.
+    """Dependencies and callbacks of the reader.
 
-    :param rank: this process's place in the ranking, the owner's is 0.
+    :param rank: returns this process's rank; the owner has rank 0.
     :param is_owner: whether this process owns the fleet's cells now.
-    :param is_owner_lost: whether the store does not answer the owner.
-    :param version: the version of the configuration held here.
-    :param note: takes a document that was read.
-    :param on_engines: told that the list of engines has changed.
+    :param is_owner_lost: whether the owner can't reach the store.
+    :param version: returns the version of this process's configuration.
+    :param on_document: called with each document that was read.
+    :param on_engines: called when the list of engines has changed.
     """
 
     access: StoreAccess
@@ -73,145 +78,154 @@
     is_owner: Callable[[], bool]
     is_owner_lost: Callable[[], bool]
     version: Callable[[], int]
-    note: Callable[[StoredObject], Awaitable[None]]
+    on_document: Callable[[StoredObject], Awaitable[None]]
     on_engines: Callable[[], None]
 
 
 class StoreReader:
-    """Follows the store for this process and, through beats, for others."""
+    """Reads the store for this process and, through heartbeats, for others."""
 
     def __init__(self, parts: ReaderParts) -> None:
-        """Start without anything read."""
+        """Create the reader; reading starts with the `async_follow` methods."""
         self._parts = parts
-        self._book = EngineBook()
-        self._engines_at = 0
-        self._is_list_lost = False
-        self.is_reached = True
+        self._registry = EngineBook()
+        self._engines_revision = 0
+        self._has_engines_read_failed = False
+        self.is_store_reached = True
 
     async def async_follow_configuration(self) -> None:
-        """Keep the configuration current, for ever."""
+        """Keep the configuration current; never returns."""
         is_watching = False
         while True:
             if not self._is_due(
-                self._configuration_age(), CONFIGURATION_OLD_MS
+                self._configuration_age(), CONFIGURATION_MAX_AGE_MS
             ):
                 is_watching = False
-                await sleep(self._look_interval_ms() / MILLIS_PER_SECOND)
+                await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
                 continue
             if is_watching and self._parts.is_owner():
                 is_watching = await self._async_watch_configuration()
             else:
                 is_watching = await self.async_read_configuration()
             if not is_watching:
-                # A store whose history is gone ends every watch at once, and
-                # one that holds no document yet answers every read at once;
-                # read without a pause either would be called hundreds of
-                # times a second by each instance.
+                # A store that lost its history ends every watch immediately,
+                # and a store without a document responds to every read
+                # immediately. Without this wait, each instance would call the
+                # store hundreds of times per second in both cases.
                 await sleep(self._retry_ms() / MILLIS_PER_SECOND)
 
     async def async_follow_engines(self) -> None:
-        """Keep the list of engines current, for ever."""
-        at = 0
+        """Keep the list of engines current; never returns."""
+        revision = 0
         while True:
             age_ms = self._parts.directory.age_ms(now_ms())
-            if not self._is_due(age_ms, ENGINES_OLD_MS):
-                at = 0
-                await sleep(self._look_interval_ms() / MILLIS_PER_SECOND)
+            if not self._is_due(age_ms, ENGINES_MAX_AGE_MS):
+                revision = 0
+                await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
                 continue
-            asked_ms = now_ms()
-            at = await self._async_read_engines(at)
-            if not at:
+            requested_ms = now_ms()
+            revision = await self._async_read_engines(revision)
+            if not revision:
                 await sleep(self._retry_ms() / MILLIS_PER_SECOND)
-            elif now_ms() - asked_ms < WATCH_MS:
-                await sleep(ENGINES_PAUSE_MS / MILLIS_PER_SECOND)
+            elif now_ms() - requested_ms < WATCH_MS:
+                await sleep(ENGINES_WATCH_GAP_MS / MILLIS_PER_SECOND)
 
     async def async_read_configuration(self) -> bool:
-        """Read the document once.
+        """Read the configuration document once.
 
-        :returns: whether the store gave one.
+        :returns: whether the store returned a document.
         """
-        asked_ms = now_ms()
-        got = await self._parts.access.read_configuration()
-        if isinstance(got, Err):
-            self._note_lost('configuration', got.err_value)
+        requested_ms = now_ms()
+        response = await self._parts.access.read_configuration()
+        if isinstance(response, Err):
+            self._record_failure('configuration', response.err_value)
             return False
-        self._note_reached('configuration')
-        await self._async_take(got.ok_value, asked_ms)
-        return got.ok_value.document is not None
+        self._record_success('configuration')
+        await self._async_apply_configuration(response.ok_value, requested_ms)
+        return response.ok_value.document is not None
 
     async def async_read_engines(self) -> bool:
         """Read the list of engines once.
 
-        :returns: whether the store gave one.
+        :returns: whether the store returned a list.
         """
         return bool(await self._async_read_engines(0))
 
     async def _async_watch_configuration(self) -> bool:
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         version = self._parts.version()
-        got = await self._parts.access.watch_configuration(version, WATCH_MS)
-        if isinstance(got, Err):
-            if isinstance(got.err_value, PlatformDown):
-                self._note_lost('configuration', got.err_value)
+        response = await self._parts.access.watch_configuration(
+            version, WATCH_MS
+        )
+        if isinstance(response, Err):
+            if isinstance(response.err_value, PlatformDown):
+                self._record_failure('configuration', response.err_value)
             return False
-        read = got.ok_value
+        read = response.ok_value
         if read.document is None:
-            # Nothing newer than what is held was there when this was asked.
-            self._parts.freshness.confirm(version, asked_ms)
+            # The store held no newer version when the request was sent.
+            self._parts.freshness.confirm(version, requested_ms)
             return True
-        await self._async_take(read, asked_ms)
+        await self._async_apply_configuration(read, requested_ms)
         return True
 
-    async def _async_take(self, read: ConfigurationRead, asked: float) -> None:
+    async def _async_apply_configuration(
+        self, read: ConfigurationRead, requested_ms: float
+    ) -> None:
         if read.document is None:
             return
         stored = StoredObject(KEY_CONFIGURATION, read.revision, read.document)
-        await self._parts.note(stored)
-        self._parts.freshness.confirm(read.revision, asked)
+        await self._parts.on_document(stored)
+        self._parts.freshness.confirm(read.revision, requested_ms)
 
-    async def _async_read_engines(self, at: int) -> int:
-        asked_ms = now_ms()
+    async def _async_read_engines(self, revision: int) -> int:
+        requested_ms = now_ms()
         access = self._parts.access
-        if at:
-            got = await access.watch_engines(at, WATCH_MS)
+        if revision:
+            response = await access.watch_engines(revision, WATCH_MS)
         else:
-            got = await access.list_engines()
-        if isinstance(got, Err):
-            if isinstance(got.err_value, PlatformDown):
-                self._is_list_lost = True
-                self._note_lost('engines', got.err_value)
+            response = await access.list_engines()
+        if isinstance(response, Err):
+            if isinstance(response.err_value, PlatformDown):
+                self._has_engines_read_failed = True
+                self._record_failure('engines', response.err_value)
             return 0
-        self._note_reached('engines')
-        self._take_engines(got.ok_value, asked_ms, is_complete=not at)
-        return got.ok_value.at
+        self._record_success('engines')
+        self._apply_engines(
+            response.ok_value, requested_ms, is_complete=not revision
+        )
+        return response.ok_value.at
 
-    def _take_engines(
+    def _apply_engines(
         self,
         read: EnginesRead,
-        asked_ms: float,
+        requested_ms: float,
         *,
         is_complete: bool,
     ) -> None:
         directory = self._parts.directory
         now = now_ms()
-        if read.at < self._engines_at:
-            # The answer to an earlier question than that of the last one.
-            directory.confirm_at(read.at, asked_ms)
+        if read.at < self._engines_revision:
+            # This read is older than the last one that was applied.
+            directory.confirm_revision(read.at, requested_ms)
             return
-        self._engines_at = read.at
+        self._engines_revision = read.at
         if is_complete:
-            self._book.replace(
+            self._registry.apply_list(
                 read.changes,
                 directory.engines,
-                # An instance that merely lags has missed no outage.
-                proof_age_ms=directory.age_ms(now) if self._is_list_lost else 0,
+                # A stale list without a failed read is caused by a lagging
+                # instance, not by an outage of the store.
+                confirmation_age_ms=directory.age_ms(now)
+                if self._has_engines_read_failed
+                else 0,
                 now=now,
             )
-            self._is_list_lost = False
+            self._has_engines_read_failed = False
         else:
-            self._book.change(read.changes, now)
-        engines = self._book.engines(now)
-        version = directory.version_at(read.at)
+            self._registry.apply_changes(read.changes, now)
+        engines = self._registry.usable_engines(now)
+        version = directory.version_for_revision(read.at)
         if version is not None and engines != dict(directory.engines):
             directory.adopt(version, engines.values())
             _LOGGER.info(
@@ -225,35 +239,39 @@
                 ),
             )
             self._parts.on_engines()
-        directory.confirm_at(read.at, asked_ms)
+        directory.confirm_revision(read.at, requested_ms)
 
-    def _is_due(self, age_ms: float, old_ms: float) -> bool:
+    def _is_due(self, age_ms: float, max_age_ms: float) -> bool:
         parts = self._parts
         if parts.is_owner():
             return True
-        wait_ms = min(parts.rank() * RANK_MS, MAX_RANK_MS)
+        wait_ms = min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
         if parts.is_owner_lost():
-            old_ms = OWNER_LOST_MS
-        return age_ms > old_ms + wait_ms
+            max_age_ms = OWNER_LOST_MAX_AGE_MS
+        return age_ms > max_age_ms + wait_ms
 
-    def _look_interval_ms(self) -> int:
-        return LOOK_MS if self._parts.rank() < INFORMED else SLOW_LOOK_MS
+    def _check_interval_ms(self) -> int:
+        return (
+            CHECK_INTERVAL_MS
+            if self._parts.rank() < INFORMED
+            else SLOW_CHECK_INTERVAL_MS
+        )
 
     def _retry_ms(self) -> int:
         parts = self._parts
         if parts.is_owner():
             return RETRY_MS
-        return RETRY_MS + min(parts.rank() * RANK_MS, MAX_RANK_MS)
+        return RETRY_MS + min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
 
     def _configuration_age(self) -> float:
         return self._parts.freshness.age_ms(self._parts.version(), now_ms())
 
-    def _note_lost(self, what: str, error: PlatformDown) -> None:
-        if self.is_reached:
-            self.is_reached = False
-            _LOGGER.warning('store lost', reading=what, cause=error.cause)
+    def _record_failure(self, resource: str, error: PlatformDown) -> None:
+        if self.is_store_reached:
+            self.is_store_reached = False
+            _LOGGER.warning('store lost', reading=resource, cause=error.cause)
 
-    def _note_reached(self, what: str) -> None:
-        if not self.is_reached:
-            self.is_reached = True
-            _LOGGER.warning('store regained', reading=what)
+    def _record_success(self, resource: str) -> None:
+        if not self.is_store_reached:
+            self.is_store_reached = True
+            _LOGGER.warning('store regained', reading=resource)
--- a/tests/process/test_engine_book.py
+++ b/tests/process/test_engine_book.py
@@ -1,6 +1,6 @@
-"""Engines through the outages of the store that lists them."""
+"""Tests of the engine list across outages of the store."""
 
-from hornbeamdeck.process.engine_book import AWAY_MS, EngineBook
+from hornbeamdeck.process.engine_book import OUTAGE_MS, EngineBook
 from hornbeamdeck.process.store_access import EngineChange
 from tests.scheduling.routed import engine
 
@@ -8,71 +8,81 @@
     EngineChange('e1', engine('e1')),
     EngineChange('e2', engine('e2')),
 )
-KNOWN = {'e1': engine('e1'), 'e2': engine('e2')}
+CURRENT = {'e1': engine('e1'), 'e2': engine('e2')}
 
 
-def _known(book: EngineBook, now: float) -> set[str]:
-    return set(book.engines(now))
+def _usable(registry: EngineBook, now: float) -> set[str]:
+    return set(registry.usable_engines(now))
 
 
-def _book() -> EngineBook:
-    """Give a book that has read both engines long ago."""
-    book = EngineBook()
-    book.replace(BOTH, {}, proof_age_ms=0, now=0)
-    return book
+def _registry() -> EngineBook:
+    """Return a registry that read both engines long ago."""
+    registry = EngineBook()
+    registry.apply_list(BOTH, {}, confirmation_age_ms=0, now=0)
+    return registry
 
 
-def test_an_entry_that_is_removed_is_gone_at_once() -> None:
-    book = _book()
-    book.change([EngineChange('e1', None)], 1000)
-    assert _known(book, 1000) == {'e2'}
+def test_removed_entry_is_dropped_immediately() -> None:
+    registry = _registry()
+    registry.apply_changes([EngineChange('e1', None)], 1000)
+    assert _usable(registry, 1000) == {'e2'}
 
 
-def test_entries_that_lapsed_in_an_outage_are_kept_for_a_moment() -> None:
-    """The store was down and its entries lapsed. On its return the list is
-    empty though all engines live; they are back within two seconds.
+def test_entries_that_expired_during_an_outage_are_retained() -> None:
+    """The store was down and its entries expired. After the outage its list is
+    empty although all engines are running; they register again within two
+    seconds.
     """
-    book = _book()
-    book.replace((), KNOWN, proof_age_ms=9000, now=10_000)
-    assert _known(book, 10_500) == {'e1', 'e2'}
-    book.change([BOTH[0]], 11_000)
-    assert _known(book, 12_500) == {'e1'}
-
-
-def test_a_leaving_engine_is_not_kept() -> None:
-    book = EngineBook()
-    leaving = engine('e1', is_leaving=True)
-    book.replace([EngineChange('e1', leaving)], {}, proof_age_ms=0, now=0)
-    book.replace((), {'e1': leaving}, proof_age_ms=9000, now=10_000)
-    assert not _known(book, 10_100)
-
-
-def test_what_a_peer_told_of_is_kept_as_well() -> None:
-    """An instance begins to read for itself right after an outage. What it
-    knows came from a peer; the lapsed list must not wipe that out.
+    registry = _registry()
+    registry.apply_list((), CURRENT, confirmation_age_ms=9000, now=10_000)
+    assert _usable(registry, 10_500) == {'e1', 'e2'}
+    registry.apply_changes([BOTH[0]], 11_000)
+    assert _usable(registry, 12_500) == {'e1'}
+
+
+def test_draining_engine_is_not_retained() -> None:
+    registry = EngineBook()
+    draining = engine('e1', is_leaving=True)
+    registry.apply_list(
+        [EngineChange('e1', draining)], {}, confirmation_age_ms=0, now=0
+    )
+    registry.apply_list(
+        (), {'e1': draining}, confirmation_age_ms=9000, now=10_000
+    )
+    assert not _usable(registry, 10_100)
+
+
+def test_engines_received_from_a_peer_are_retained() -> None:
+    """An instance starts to read the store itself right after an outage. It
+    received its engines from a peer; the expired list must not remove them.
     """
-    book = EngineBook()
-    known = {'e1': engine('e1')}
-    book.replace((), known, proof_age_ms=9000, now=10_000)
-    assert _known(book, 10_100) == {'e1'}
-
-
-def test_one_that_was_turned_away_does_not_bring_back_what_left() -> None:
-    """The store turned this instance away for seconds and served its peers.
-    One engine left without a word meanwhile; the peers have told of that. Read
-    at last, the list must not bring the engine back from an old copy: callers'
-    requests would reach it seconds after it had left.
+    registry = EngineBook()
+    current = {'e1': engine('e1')}
+    registry.apply_list((), current, confirmation_age_ms=9000, now=10_000)
+    assert _usable(registry, 10_100) == {'e1'}
+
+
+def test_rejected_instance_does_not_restore_removed_engines() -> None:
+    """The store rejected this instance's calls for seconds while it served the
+    peers. Meanwhile one engine stopped without draining, and the peers have
+    reported this. When this instance reads the list again, it must not restore
+    the engine from an old copy: requests would be sent to it seconds after it
+    stopped.
     """
-    book = _book()
-    told_by_peers = {'e2': engine('e2')}
-    book.replace((BOTH[1],), told_by_peers, proof_age_ms=400, now=10_000)
-    assert _known(book, 10_000) == {'e2'}
+    registry = _registry()
+    reported_by_peers = {'e2': engine('e2')}
+    registry.apply_list(
+        (BOTH[1],), reported_by_peers, confirmation_age_ms=400, now=10_000
+    )
+    assert _usable(registry, 10_000) == {'e2'}
 
 
-def test_what_leaves_while_only_this_instance_is_turned_away_is_gone() -> None:
-    """The same, and the engine leaves so late that no peer has told of it: a
-    store that serves the peers was not away, and its list is the truth.
+def test_engine_removed_while_only_own_calls_are_rejected_is_dropped() -> None:
+    """As above, but the engine stops so late that no peer has reported it yet.
+    The store served the peers, so it was not down and its list is correct.
     """
-    book = _book()
-    book.replace((BOTH[1],), KNOWN, proof_age_ms=AWAY_MS / 2, now=10_000)
-    assert _known(book, 10_000) == {'e2'}
+    registry = _registry()
+    registry.apply_list(
+        (BOTH[1],), CURRENT, confirmation_age_ms=OUTAGE_MS / 2, now=10_000
+    )
+    assert _usable(registry, 10_000) == {'e2'}
