--- a/hornbeamdeck/process/follower.py
+++ b/hornbeamdeck/process/follower.py
@@ -1,4 +1,4 @@
-"""Follows objects of the platform, and adopts configurations."""
+"""Follows objects in the store and adopts new configurations."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, Generic, NamedTuple, Protocol, TypeAlias, TypeVar
@@ -28,12 +28,12 @@
 _LOGGER = structlog.get_logger(prefix='follower')
 
 WATCH_MS: Final = 30_000
-WATCH_PAUSE_S: Final = 0.05
-HINT_PAUSE_S: Final = 0.1
+WATCH_INTERVAL_S: Final = 0.05
+HINT_INTERVAL_S: Final = 0.1
 ROLE: Final = 'configuration'
 
 OnChange: TypeAlias = Callable[[StoredObject], Awaitable[None]]
-TakeFromPeer: TypeAlias = Callable[[str], Awaitable[None]]
+FetchFromPeer: TypeAlias = Callable[[str], Awaitable[None]]
 
 
 async def async_follow(
@@ -43,10 +43,10 @@
     *,
     role: str,
 ) -> None:
-    """Report all objects under a prefix, then each change, for ever.
+    """Report all objects under a prefix, then each change; never returns.
 
-    After an error or a gap in the watch everything is listed again, so a
-    change that was missed is seen then.
+    After an error or a gap in the watch, all objects are listed again, so that
+    missed changes are reported as well.
     """
     waits = backoff_s()
     while True:
@@ -69,23 +69,24 @@
     revision: int,
 ) -> None:
     while True:
-        seen = await platform.async_watch(
+        response = await platform.async_watch(
             prefix,
             since=revision,
             role=role,
             wait_ms=WATCH_MS,
         )
-        if isinstance(seen, Err):
+        if isinstance(response, Err):
             return
-        await _async_report(seen.ok_value, on_change)
-        revision = seen.ok_value.revision
-        # A platform that answers a watch at once, changed or not, would be
-        # called without pause by every process of the fleet.
-        await sleep(WATCH_PAUSE_S)
+        await _async_report(response.ok_value, on_change)
+        revision = response.ok_value.revision
+        # A store that ends every watch immediately, even without a change,
+        # would otherwise be called in a tight loop by every process of the
+        # fleet.
+        await sleep(WATCH_INTERVAL_S)
 
 
-async def _async_report(answer: WatchAnswer, on_change: OnChange) -> None:
-    for change in answer.changes:
+async def _async_report(response: WatchAnswer, on_change: OnChange) -> None:
+    for change in response.changes:
         await on_change(change)
 
 
@@ -93,15 +94,15 @@
 
 
 class HeldDocument(Protocol):
-    """What every kind of configuration tells of its document."""
+    """Interface that every kind of configuration implements."""
 
     @property
     def version(self) -> int:
-        """Version of the document; 0: none is known yet."""
+        """Version of the document; 0 if no document was read yet."""
 
     @property
     def document(self) -> str:
-        """Its text, to pass on to peers."""
+        """The document's text, which is sent to peers."""
 
 
 _Held = TypeVar('_Held', bound=HeldDocument)
@@ -109,12 +110,12 @@
 
 
 class DocumentKind(NamedTuple, Generic[_Held]):
-    """What a follower has to know of the document that it follows.
+    """Functions and initial value for the kind of document to follow.
 
-    :param empty: what is held before any is known.
-    :param parse: takes a text and its version.
-    :param fetch: reads the document from where it is stored.
-    :param on_adopted: told of each version that comes into force.
+    :param empty: the configuration used before the first document is read.
+    :param parse: takes a document's text and its version.
+    :param fetch: reads the document from the store.
+    :param on_adopted: called with each configuration that comes into force.
     """
 
     empty: _Held
@@ -124,7 +125,7 @@
 
 
 class ConfigurationFollower(Generic[_Held]):
-    """Holds the configuration in force; a version never goes down."""
+    """Holds the configuration in force; its version never decreases."""
 
     def __init__(self, kind: DocumentKind[_Held]) -> None:
         """Start with the empty configuration, version 0."""
@@ -139,7 +140,7 @@
         if change.key != KEY_CONFIGURATION or change.body is None:
             return
         if change.version <= self.configuration.version:
-            # A stale list or watch answer, or a peer that lags.
+            # From a stale list or watch response, or from a lagging peer.
             return
         parsed = self._kind.parse(change.body, change.version)
         if isinstance(parsed, Err):
@@ -154,43 +155,44 @@
         await self._kind.on_adopted(parsed.ok_value)
 
     async def async_hint(self, peer_id: str, version: int) -> None:
-        """Take note that a peer has a version."""
+        """Record that a peer has a version, to fetch it if it is newer."""
         if version > self.configuration.version:
             self._hinting_peer = peer_id
             self._hinted_version = version
             await self._hinted.set()
 
-    async def async_fetch_hinted(self, take_from_peer: TakeFromPeer) -> None:
-        """Fetch, for ever, what peers are known to have already.
+    async def async_fetch_hinted(self, take_from_peer: FetchFromPeer) -> None:
+        """Fetch newer versions that peers have reported; never returns.
 
-        A watch may hang on a dead connection for its whole wait, and the
-        platform may be down; peers that learned of the change in time would
-        leave this process behind. The peer that hinted is asked first: were it
-        the platform, each change would cost a call of every instance.
+        A watch may hang on a dead connection until its timeout, and the store
+        may be down. This process would then stay on an old version although
+        its peers received the change. The peer that reported the version is
+        requested first: if every instance read from the store, each change
+        would cause one store call per instance.
 
-        :param take_from_peer: asks the peer.
+        :param take_from_peer: requests the document from a peer.
         """
         while True:
             await self._hinted.wait()
             await take_from_peer(self._hinting_peer)
             if self.configuration.version < self._hinted_version:
                 await self._async_fetch()
-            # A hint that could not be followed comes again with the next
-            # message; the pause keeps that from becoming a storm.
-            await sleep(HINT_PAUSE_S)
+            # If both fetches failed, the peer's next message reports the
+            # version again. This wait limits how often that causes a fetch.
+            await sleep(HINT_INTERVAL_S)
             self._hinted.clear()
 
     async def _async_fetch(self) -> None:
-        got = await self._kind.fetch()
-        if isinstance(got, Ok) and got.ok_value is not None:
-            await self.async_note(got.ok_value)
+        fetched = await self._kind.fetch()
+        if isinstance(fetched, Ok) and fetched.ok_value is not None:
+            await self.async_note(fetched.ok_value)
 
 
 def follow_platform(
     platform: PlatformClient,
     on_adopted: Callable[[Configuration], Awaitable[None]],
 ) -> ConfigurationFollower[Configuration]:
-    """Make the follower of the product's own document in its own platform."""
+    """Create the follower of the product's own configuration document."""
 
     def _parse(
         text: str,
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -1,4 +1,4 @@
-"""One running instance: opens its addresses and takes them down in order."""
+"""One running instance: startup and graceful shutdown."""
 
 from collections.abc import Coroutine, Iterator
 from contextlib import contextmanager
@@ -32,14 +32,14 @@
 _LOGGER = structlog.get_logger(prefix='instance')
 
 DRAIN_POLL_MS: Final = 50
-QUIET_POLLS: Final = 4
+IDLE_POLLS: Final = 4
 
 
 class Instance:
-    """A running instance process, or one of several in a test."""
+    """An instance; tests run several of them in one process."""
 
     def __init__(self, parts: Parts) -> None:
-        """Take the parts; `async_start` opens the addresses."""
+        """Create the instance; `async_start` opens the addresses."""
         self.parts = parts
         self.is_leaving = False
         self.in_flight = 0
@@ -48,14 +48,14 @@
 
     @property
     def own(self) -> InstanceStatus:
-        """What this instance tells of itself."""
+        """The status that this instance publishes."""
         return self.parts.membership.own
 
     async def async_start(self) -> None:
-        """Open the addresses, then begin to follow the platform.
+        """Open the addresses, then start the background tasks.
 
-        The platform may be down: everything here goes on trying, and peers
-        or the platform bring the configuration later.
+        The store may be down at startup. The tasks retry, and the
+        configuration is received later from peers or from the store.
         """
         parts = self.parts
         callers = await async_setup_listener(
@@ -85,7 +85,7 @@
         )
 
     async def async_stop(self) -> int:
-        """Leave as planned: drain, hand over, close.
+        """Shut down gracefully: drain, hand over ownership, close.
 
         :returns: how many requests were cut off at the drain deadline.
         """
@@ -93,12 +93,14 @@
         self.is_leaving = True
         parts.membership.own = self.own._replace(state=STATE_LEAVING)
         _LOGGER.info('planned stop begins', pending=self._pending())
-        # Not counted as work to be drained: with the platform down it would
-        # hold the stop until its deadline though no caller waits for it.
+        # This write does not count as pending work: if the store is down, it
+        # would delay the shutdown until its deadline although no caller waits
+        # for it.
         await self._async_spawn_task(parts.presence.async_publish())
         await parts.grants.async_review()
         deadline_ms = now_ms() + parts.settings.drain_ms
-        # Callers keep an addresses answer so long and connect here meanwhile.
+        # Callers cache the list of addresses for this time and continue to
+        # connect to this instance.
         ttl_ms = min(parts.settings.entries_ttl_ms, parts.settings.drain_ms)
         await sleep(ttl_ms / MILLIS_PER_SECOND)
         await self._listeners[0].async_stop_accepting()
@@ -111,7 +113,7 @@
         return cut_off
 
     async def async_kill(self) -> None:
-        """Close everything at once, as a dying process would."""
+        """Close everything immediately, as if the process had died."""
         for task in self._tasks:
             await task.cancel()
         for listener in self._listeners:
@@ -120,7 +122,7 @@
         await self.parts.platform.async_close()
 
     def answering(self) -> Answering:
-        """Give a request its parts, with the configuration in force now."""
+        """Return what a request needs, with the current configuration."""
         parts = self.parts
         return Answering(
             configuration=parts.follower.configuration,
@@ -138,10 +140,10 @@
             is_leaving=lambda: self.is_leaving,
             in_flight=self._count_in_flight,
         )
-        answer = make_answer(routing)
+        handler = make_answer(routing)
 
         async def _async_serve(sock: socket.socket) -> None:
-            await async_serve_requests(sock, answer, refuse_unreadable)
+            await async_serve_requests(sock, handler, refuse_unreadable)
 
         return _async_serve
 
@@ -186,16 +188,16 @@
         return self.in_flight + self.parts.background.pending
 
     async def _async_drain(self, deadline_ms: float) -> None:
-        quiet = 0
-        while quiet < QUIET_POLLS and now_ms() < deadline_ms:
-            quiet = 0 if self._pending() else quiet + 1
+        idle_polls = 0
+        while idle_polls < IDLE_POLLS and now_ms() < deadline_ms:
+            idle_polls = 0 if self._pending() else idle_polls + 1
             await sleep(DRAIN_POLL_MS / MILLIS_PER_SECOND)
 
 
 async def async_setup_instance(settings: Settings) -> Instance:
-    """Start an instance; its `async_stop` is what undoes it.
+    """Create and start an instance; the caller stops it with `async_stop`.
 
-    :raises OSError: where an address can't be bound.
+    :raises OSError: if an address can't be bound.
     """
     instance = Instance(Parts.from_settings(settings))
     await instance.async_start()
--- a/hornbeamdeck/process/issued_calls.py
+++ b/hornbeamdeck/process/issued_calls.py
@@ -1,7 +1,8 @@
-"""The calls that ran here under issued keys, in this process's memory.
+"""Records of the calls that ran with issued keys, stored in memory.
 
-No record is dropped before its key expires, since the call could then run a
-second time; when there is no room, new calls are refused instead.
+A record is never removed before its key expires, because the call could then
+run a second time. When the maximum number of records is reached, new calls are
+refused instead.
 """
 
 import time
@@ -20,74 +21,77 @@
 __all__ = ('IssuedCalls',)
 
 MAX_CALLS: Final = 20_000
-MAX_KEPT_BYTES: Final = 32_768
+MAX_STORED_BODY_BYTES: Final = 32_768
 RETRY_FULL_MS: Final = 5000
 
 
-class _Call(NamedTuple):
+class _CallRecord(NamedTuple):
     fingerprint: str
     expires_s: int
     response: HttpResponse | None
 
 
 class IssuedCalls:
-    """Records by nonce, in the order in which they came."""
+    """Call records by nonce, in the order in which the calls began."""
 
     def __init__(self) -> None:
         """Start without records."""
-        self._calls: OrderedDict[str, _Call] = OrderedDict()
+        self._records: OrderedDict[str, _CallRecord] = OrderedDict()
 
     def begin(
         self,
         key: IssuedKey,
         fingerprint: str,
     ) -> Result[Once | Recorded, Failure]:
-        """Take the right to run a call, or find what became of it."""
+        """Claim the right to run a call, or return its recorded response."""
         now_s = int(time.time())
         if key.expires_s <= now_s:
-            return Err(_expired())
-        found = self._calls.get(key.nonce)
-        if found is not None:
-            return _repeated(found, fingerprint)
-        self._drop_expired(now_s)
-        if len(self._calls) >= MAX_CALLS:
-            return Err(_full())
-        self._calls[key.nonce] = _Call(fingerprint, key.expires_s, None)
-        return Ok(self._once(key.nonce))
-
-    def _once(self, nonce: str) -> Once:
+            return Err(_key_expired())
+        record = self._records.get(key.nonce)
+        if record is not None:
+            return _repeated_call(record, fingerprint)
+        self._remove_expired(now_s)
+        if len(self._records) >= MAX_CALLS:
+            return Err(_too_many_calls())
+        self._records[key.nonce] = _CallRecord(fingerprint, key.expires_s, None)
+        return Ok(self._make_claim(key.nonce))
+
+    def _make_claim(self, nonce: str) -> Once:
         async def _async_record(response: HttpResponse) -> None:
-            kept = response
-            if len(response.body) > MAX_KEPT_BYTES:
-                kept = response._replace(body=b'')
-            self._calls[nonce] = self._calls[nonce]._replace(response=kept)
+            stored = response
+            if len(response.body) > MAX_STORED_BODY_BYTES:
+                stored = response._replace(body=b'')
+            self._records[nonce] = self._records[nonce]._replace(
+                response=stored
+            )
 
         async def _async_release() -> None:
-            self._calls.pop(nonce, None)
+            self._records.pop(nonce, None)
 
         return Once(_async_record, _async_release)
 
-    def _drop_expired(self, now_s: int) -> None:
-        # Keys live equally long, so those that came first expire about first.
-        while self._calls:
-            nonce, oldest = next(iter(self._calls.items()))
+    def _remove_expired(self, now_s: int) -> None:
+        # All keys have the same lifetime, so records expire approximately in
+        # the order in which the calls began.
+        while self._records:
+            nonce, oldest = next(iter(self._records.items()))
             if oldest.expires_s > now_s:
                 return
-            self._calls.pop(nonce)
+            self._records.pop(nonce)
 
 
-def _repeated(
-    found: _Call,
+def _repeated_call(
+    record: _CallRecord,
     fingerprint: str,
 ) -> Result[Once | Recorded, Failure]:
-    if found.fingerprint != fingerprint:
+    if record.fingerprint != fingerprint:
         return Err(unprocessable('the key was used for another call'))
-    if found.response is None:
+    if record.response is None:
         return Err(in_progress())
-    return Ok(Recorded(found.response))
+    return Ok(Recorded(record.response))
 
 
-def _expired() -> Unknown:
+def _key_expired() -> Unknown:
     return Unknown(
         HTTPStatus.GONE,
         'key_expired',
@@ -95,7 +99,7 @@
     )
 
 
-def _full() -> NotRun:
+def _too_many_calls() -> NotRun:
     return NotRun(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'too_many_calls',
--- a/hornbeamdeck/process/lease.py
+++ b/hornbeamdeck/process/lease.py
@@ -1,13 +1,14 @@
-"""A lease in the platform: at most one live holder, and a fencing token.
-
-The platform knows no time to live, so expiry is judged by watching: whoever
-sees the lease object unchanged for its whole duration may replace it, on the
-condition that it is unchanged still. The holder counts its own deadline from
-before it sent its last renewal, so it stops before anybody can take over. A
-process that is frozen past its deadline can't stop; for that, orders carry the
-fencing token, and what takes orders refuses a lower one. (The order of these
-deadlines, and that no check replaces the token, follow the DLeader.Consul
-documentation, version 2.0.1.)
+"""A lease in the store: at most one current holder, and a fencing token.
+
+The store has no time to live for objects, so expiry is determined by
+observation: a contender that sees the lease object unchanged for its whole
+duration may replace it by a conditional write, which fails if the object has
+changed meanwhile. The holder's deadline starts before it sends a renewal, so
+the holder stops before another contender can take over. A process that is
+suspended past its deadline can't stop in time. Therefore commands carry the
+fencing token, and their receiver refuses commands with a lower token. (The
+order of these deadlines, and the rule that no check replaces the token, follow
+the DLeader.Consul documentation, version 2.0.1.)
 """
 
 import json
@@ -30,11 +31,11 @@
 
 
 class LeaseTerms(NamedTuple):
-    """How long a lease lasts.
+    """Durations of a lease.
 
-    :param duration_ms: how long others wait for a renewal.
-    :param margin_ms: how much earlier its holder stops, for clocks that run
-        at different rates.
+    :param duration_ms: how long other contenders wait for a renewal.
+    :param margin_ms: how much earlier the holder stops, to allow for clocks
+        that run at different rates.
     """
 
     duration_ms: int = 10_000
@@ -51,7 +52,7 @@
         return cls(**json.loads(stored.body or '{}'))
 
 
-class _Seen(NamedTuple):
+class _Observed(NamedTuple):
     version: int
     since_ms: float
 
@@ -68,50 +69,51 @@
         terms: LeaseTerms,
         clock_ms: Callable[[], float] = now_ms,
     ) -> None:
-        """Hold nothing yet.
+        """Create a contender that does not hold the lease yet.
 
-        :param clock_ms: a monotonic clock, milliseconds.
+        :param clock_ms: a monotonic clock in milliseconds.
         """
         self._platform = platform
         self._key = key
         self._terms = terms
         self._clock_ms = clock_ms
         self._record = _Record(holder, uuid.uuid4().hex, terms.duration_ms)
-        self._seen: _Seen | None = None
+        self._observed: _Observed | None = None
         self._version = 0
         self._token = 0
-        self._until_ms = 0.0
+        self._held_until_ms = 0.0
 
     @property
     def is_held(self) -> bool:
-        """Whether this contender may act now; ask right before each order."""
-        return self._clock_ms() < self._until_ms
+        """Whether this contender holds the lease; check before each command."""
+        return self._clock_ms() < self._held_until_ms
 
     @property
     def fencing_token(self) -> int:
-        """The platform's version at acquisition: higher in each later term."""
+        """The object's version at acquisition; it increases with each term."""
         return self._token
 
     async def async_try(self) -> Result[bool, PlatformDown]:
-        """Renew if held, else acquire if free or expired.
+        """Renew the lease if held, else acquire it if it is free or expired.
 
-        :returns: whether it is held now. After an error the lease may be held
-            all the same, until its deadline.
+        :returns: whether the lease is held now. After an error it may still
+            be held until its deadline.
         """
-        got = await self._platform.async_get(self._key, role=ROLE)
-        if isinstance(got, Err):
-            return got
-        stored = got.ok_value
+        response = await self._platform.async_get(self._key, role=ROLE)
+        if isinstance(response, Err):
+            return response
+        stored = response.ok_value
         if stored is None:
             return await self._async_write(expected=None, is_new_term=True)
         if self._is_own(stored):
-            # Also an acquisition whose answer was lost: it took effect.
+            # This includes an acquisition that took effect although its
+            # response was lost.
             is_new_term = not self.is_held
             return await self._async_write(
                 expected=stored.version,
                 is_new_term=is_new_term,
             )
-        self._until_ms = 0
+        self._held_until_ms = 0
         if not self._is_expired(stored):
             return Ok(False)
         return await self._async_write(
@@ -120,16 +122,16 @@
         )
 
     async def async_release(self) -> None:
-        """Give the lease up, so that the next need not wait for it."""
+        """Release the lease, so that others can acquire it immediately."""
         if not self.is_held:
             return
-        self._until_ms = 0
-        # Not deleted: where versions begin anew for a new object, the next
-        # holder's token would be lower than this one's.
-        freed = self._record._replace(nonce='', duration_ms=0)
+        self._held_until_ms = 0
+        # The object is not deleted: if the store restarts version numbers for
+        # a new object, the next holder's token would be lower than this one's.
+        released = self._record._replace(nonce='', duration_ms=0)
         await self._platform.async_put(
             self._key,
-            json.dumps(freed._asdict()),
+            json.dumps(released._asdict()),
             expected=self._version,
             role=ROLE,
         )
@@ -141,10 +143,10 @@
         if not _Record.from_stored(stored).duration_ms:
             return True
         now = self._clock_ms()
-        if self._seen is None or self._seen.version != stored.version:
-            self._seen = _Seen(stored.version, now)
+        if self._observed is None or self._observed.version != stored.version:
+            self._observed = _Observed(stored.version, now)
             return False
-        waited_ms = now - self._seen.since_ms
+        waited_ms = now - self._observed.since_ms
         return waited_ms >= _Record.from_stored(stored).duration_ms
 
     async def _async_write(
@@ -153,7 +155,7 @@
         expected: int | None,
         is_new_term: bool,
     ) -> Result[bool, PlatformDown]:
-        before_ms = self._clock_ms()
+        sent_ms = self._clock_ms()
         written = await self._platform.async_put(
             self._key,
             json.dumps(self._record._asdict()),
@@ -163,11 +165,11 @@
         if isinstance(written, Err):
             if isinstance(written.err_value, PlatformDown):
                 return Err(written.err_value)
-            self._until_ms = 0
+            self._held_until_ms = 0
             return Ok(False)
         self._version = written.ok_value
         if is_new_term:
             self._token = self._version
-        lasting_ms = self._terms.duration_ms - self._terms.margin_ms
-        self._until_ms = before_ms + lasting_ms
+        usable_ms = self._terms.duration_ms - self._terms.margin_ms
+        self._held_until_ms = sent_ms + usable_ms
         return Ok(True)
--- a/hornbeamdeck/process/log_buffer.py
+++ b/hornbeamdeck/process/log_buffer.py
@@ -1,4 +1,4 @@
-"""Keeps log lines until standard output takes them; never waits for it."""
+"""Buffers log lines and writes them to standard output without blocking."""
 
 import os
 from collections import deque
@@ -17,24 +17,24 @@
 
 
 class LogBuffer:
-    """A text stream for structlog, written out by a task of its own.
+    """A text stream for structlog, written to standard output by a task.
 
-    A reader of the logs that stands still fills the pipe; a process that
-    wrote on would stop in the middle of serving. Lines beyond the bound are
-    dropped and counted instead.
+    If the log collector stops reading, the pipe fills up, and a blocking write
+    would stop the whole process while it serves requests. Lines beyond
+    `MAX_LINES` are dropped and counted instead.
     """
 
     def __init__(self, on_dropped: Callable[[], None]) -> None:
-        """Start empty.
+        """Start with an empty buffer.
 
-        :param on_dropped: told of each line that is dropped.
+        :param on_dropped: called for each line that is dropped.
         """
         self._lines: deque[bytes] = deque()
         self._on_dropped = on_dropped
         os.set_blocking(STDOUT, False)
 
     def write(self, text: str) -> int:
-        """Take in text; structlog gives a line and its end apart."""
+        """Buffer text; structlog writes a line and its newline separately."""
         if len(self._lines) < MAX_LINES:
             self._lines.append(text.encode(ENCODING, 'replace'))
         elif text.strip():
@@ -42,10 +42,10 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: the task writes in its own time."""
+        """Do nothing; the task writes the buffered lines."""
 
     def write_out(self) -> None:
-        """Write what standard output takes now."""
+        """Write as much as standard output accepts without blocking."""
         pending = b''.join(self._lines)
         self._lines.clear()
         try:
@@ -53,13 +53,14 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody will ever read this again; there is nowhere to say so.
+            # Standard output is closed for good, so the error can't be logged
+            # either; discard the lines.
             written = len(pending)
         if written < len(pending):
             self._lines.appendleft(pending[written:])
 
     async def async_run(self) -> None:
-        """Write out for ever."""
+        """Write the buffered lines periodically; never returns."""
         while True:
             await sleep(FLUSH_MS / MILLIS_PER_SECOND)
             self.write_out()
--- a/hornbeamdeck/process/logs.py
+++ b/hornbeamdeck/process/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, on standard error."""
+"""Structured logs: one JSON object per line, by default on standard error."""
 
 import logging
 import sys
@@ -13,13 +13,13 @@
 
 
 class LineStream(Protocol):
-    """What log lines are written to."""
+    """The stream interface that log output requires."""
 
     def write(self, text: str) -> int:
-        """Take in text."""
+        """Write text."""
 
     def flush(self) -> None:
-        """Pass on what was taken in."""
+        """Flush buffered text."""
 
 
 def _add_prefix(
@@ -37,9 +37,9 @@
     instance_id: str,
     stream: LineStream | None = None,
 ) -> None:
-    """Write logs of this level and above, each with the instance's name.
+    """Log messages of this level and above, each with the instance's id.
 
-    :param stream: where to; standard error where none is given.
+    :param stream: the output stream; standard error by default.
     """
     structlog.contextvars.bind_contextvars(instance_id=instance_id)
     structlog.configure(
--- a/hornbeamdeck/process/metrics.py
+++ b/hornbeamdeck/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process, with a registry of its own."""
+"""Metrics of one process, in a separate registry."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -58,7 +58,7 @@
         )
 
     def count(self, service: str, tier: str, outcome: str) -> None:
-        """Count a request that got its final word."""
+        """Count a request that received its final response."""
         self._requests.labels(
             service=service,
             tier=tier,
@@ -66,7 +66,7 @@
         ).inc()
 
     def count_platform_call(self, role: str) -> None:
-        """Count a call to the platform."""
+        """Count a call to the store."""
         self._platform_calls.labels(role=role).inc()
 
     def count_peer_bytes(self, direction: str, count: int) -> None:
@@ -74,5 +74,5 @@
         self._peer_bytes.labels(direction=direction).inc(count)
 
     def render(self) -> bytes:
-        """Write all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/hornbeamdeck/process/parts.py
+++ b/hornbeamdeck/process/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one instance, made once and wired together."""
+"""Creates and connects the components of one instance."""
 
 import uuid
 from typing import NamedTuple, Self
@@ -42,7 +42,7 @@
 
 
 class Parts(NamedTuple):
-    """Everything that an instance is made of, apart from its sockets."""
+    """All components of an instance except its sockets."""
 
     settings: Settings
     metrics: Metrics
@@ -62,7 +62,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> Self:
-        """Make all parts; nothing is opened yet."""
+        """Create all components; no address is opened yet."""
         metrics = Metrics()
         platform = PlatformClient(
             settings.platform_address,
@@ -97,7 +97,7 @@
             presence=Presence(platform, membership, scheduler, grants),
             identity=identity,
             snapshots=Snapshots(follower, membership, identity),
-            policy=_timed(
+            policy=_with_wait_metric(
                 _make_policy(settings.policy, grants, follower, reports),
                 metrics,
             ),
@@ -141,7 +141,7 @@
     )
 
 
-def _timed(policy: Policy, metrics: Metrics) -> Policy:
+def _with_wait_metric(policy: Policy, metrics: Metrics) -> Policy:
     async def _async_acquire(request: Enqueue) -> Result[str, NotRun]:
         with metrics.grant_wait_seconds.time():
             return await policy.acquire(request)
--- a/hornbeamdeck/process/serve.py
+++ b/hornbeamdeck/process/serve.py
@@ -1,4 +1,4 @@
-"""Runs one instance until it is told to stop."""
+"""Runs one instance until it receives a stop signal."""
 
 from hornbeamdeck.process.instance import async_setup_instance
 from hornbeamdeck.process.settings import Settings
@@ -8,11 +8,11 @@
 
 
 async def async_serve(settings: Settings) -> int:
-    """Serve until SIGTERM or SIGINT, then leave as planned.
+    """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
     :returns: how many requests were cut off at the drain deadline.
     """
-    told_to_stop = stop_event()
+    stop_requested = stop_event()
     instance = await async_setup_instance(settings)
-    await told_to_stop.wait()
+    await stop_requested.wait()
     return await instance.async_stop()
--- a/hornbeamdeck/process/settings.py
+++ b/hornbeamdeck/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one instance process: a JSON file, checked."""
+"""Settings of one instance process, read from a JSON file and validated."""
 
 import json
 import pathlib
@@ -31,9 +31,9 @@
 
 
 def ip_and_port(text: str) -> Address:
-    """Check an address.
+    """Parse an address.
 
-    :raises voluptuous.Invalid: where the text is none.
+    :raises voluptuous.Invalid: if the text is not a valid address.
     """
     try:
         return Address.from_text(text)
@@ -73,13 +73,14 @@
 
 
 class Settings(NamedTuple):
-    """What a process is told when it starts.
+    """Settings of an instance process.
 
     :param address: where callers connect; port 0 lets the system choose.
     :param peer_address: where other instances connect.
-    :param seed_peers: peer addresses to ask while the platform is down.
-    :param drain_ms: longest planned stop, milliseconds.
-    :param entries_ttl_ms: how long callers may keep an addresses answer.
+    :param seed_peers: addresses of peers that are requested for a snapshot
+        while the store is down.
+    :param drain_ms: longest duration of a graceful shutdown, milliseconds.
+    :param entries_ttl_ms: how long callers may cache the list of addresses.
     """
 
     instance_id: str
@@ -97,17 +98,17 @@
 
     @classmethod
     def from_config(cls, raw: dict[str, Any]) -> Self:
-        """Check raw settings and build from them.
+        """Build from raw settings and validate them.
 
-        :raises voluptuous.MultipleInvalid: where a field is wrong.
+        :raises voluptuous.MultipleInvalid: if a field is invalid.
         """
         return cls(**SETTINGS_SCHEMA(raw))
 
 
 class SettingsError(NamedTuple):
-    """Settings that can't be used.
+    """An error in a settings file.
 
-    :param field: the field's name, empty where the file as a whole is wrong.
+    :param field: the field's name; empty if the whole file is invalid.
     """
 
     path: str
@@ -115,15 +116,15 @@
     message: str
 
     def __str__(self) -> str:
-        """Name the file and the field."""
-        where = f'{self.path}: {self.field}' if self.field else self.path
-        return f'{where}: {self.message}'
+        """Return the file, the field and the message."""
+        location = f'{self.path}: {self.field}' if self.field else self.path
+        return f'{location}: {self.message}'
 
 
 def load_settings(
     path: str,
 ) -> Result[Settings, tuple[SettingsError, ...]]:
-    """Read the settings file of an instance."""
+    """Read and validate the settings file of an instance."""
     return load_checked(path, Settings.from_config)
 
 
@@ -131,10 +132,10 @@
     path: str,
     from_config: Callable[[dict[str, Any]], _Checked],
 ) -> Result[_Checked, tuple[SettingsError, ...]]:
-    """Read a settings file.
+    """Read and validate a settings file.
 
-    :param from_config: builds the settings, or raises on a wrong field.
-    :returns: the settings, or every error with its file and field.
+    :param from_config: builds the settings; raises if a field is invalid.
+    :returns: the settings, or all errors with their file and field.
     """
     try:
         raw = json.loads(pathlib.Path(path).read_text())
--- a/hornbeamdeck/process/signals.py
+++ b/hornbeamdeck/process/signals.py
@@ -1,4 +1,4 @@
-"""Turns the signals that ask a process to stop into an event."""
+"""Sets an event when the process receives a stop signal."""
 
 import signal
 from typing import Final
@@ -11,12 +11,12 @@
 
 
 def stop_event() -> UniversalEvent:
-    """Make an event that SIGTERM and SIGINT set; only in the main thread."""
-    told_to_stop = UniversalEvent()
+    """Return an event that SIGTERM and SIGINT set; only in the main thread."""
+    stop_requested = UniversalEvent()
 
     def _on_signal(_number: int, _frame: object) -> None:
-        told_to_stop.set()
+        stop_requested.set()
 
     for number in STOP_SIGNALS:
         signal.signal(number, _on_signal)
-    return told_to_stop
+    return stop_requested
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -1,4 +1,4 @@
-"""How an instance catches up with a version that a peer has told of."""
+"""Tests of how an instance fetches a version that a peer has reported."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -17,15 +17,15 @@
     document: str
 
 
-class _Paused(Exception):
-    """Raised in place of the pause after a hint was followed."""
+class _SleepReached(Exception):
+    """Raised instead of sleeping, to end the loop after one round."""
 
 
 _Fetched = Result[StoredObject | None, PlatformDown]
 
 
 async def _async_ignore(_held: _Held) -> None:
-    """Take no note."""
+    """Do nothing."""
 
 
 def _stored(version: int) -> StoredObject:
@@ -38,9 +38,10 @@
     fetch: Callable[[], Awaitable[_Fetched]],
     peer_gives: int,
 ) -> int:
-    """Follow one hint of version 7.
+    """Run one round of fetches after a peer has reported version 7.
 
-    :returns: the version held then.
+    :param peer_gives: the version that the peer returns; 0 for none.
+    :returns: the version in force afterwards.
     """
     kind = DocumentKind(
         empty=_Held(0, ''),
@@ -50,45 +51,47 @@
     )
     follower = ConfigurationFollower(kind)
 
-    async def _async_take(_peer_id: str) -> None:
+    async def _async_fetch_from_peer(_peer_id: str) -> None:
         if peer_gives:
             await follower.async_note(_stored(peer_gives))
 
-    async def _async_pause(_seconds: float) -> None:
-        raise _Paused
+    async def _async_sleep(_seconds: float) -> None:
+        raise _SleepReached
 
     async def _async_follow() -> None:
         await follower.async_hint('peer', 7)
-        await follower.async_fetch_hinted(_async_take)
+        await follower.async_fetch_hinted(_async_fetch_from_peer)
 
-    monkeypatch.setattr('hornbeamdeck.process.follower.sleep', _async_pause)
-    with pytest.raises(_Paused):
+    monkeypatch.setattr('hornbeamdeck.process.follower.sleep', _async_sleep)
+    with pytest.raises(_SleepReached):
         curio.run(_async_follow)
     return follower.configuration.version
 
 
-def test_the_peer_that_hinted_is_asked_before_the_platform(
+def test_reporting_peer_is_requested_before_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each change of the configuration reaches one instance first, which tells
-    the others. Did all of them read the platform then, a storm of changes
-    would cost it a call of every instance for each.
+    """Each configuration change reaches one instance first, which reports it to
+    the others. If all of them then read from the store, each change would cost
+    one store call per instance.
     """
     calls = []
 
     async def _async_fetch() -> _Fetched:
         calls.append('fetch')
-        return Err(PlatformDown('away'))
+        return Err(PlatformDown('down'))
 
     held = _follow(monkeypatch, fetch=_async_fetch, peer_gives=7)
     assert held == 7
     assert not calls
 
 
-def test_the_platform_is_asked_where_the_peer_is_of_no_help(
+def test_store_is_read_if_the_peer_returns_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The peer that hinted stops in the next moment, and nobody else tells."""
+    """The peer that reported the version stops before it can return it, and no
+    other peer reports the version.
+    """
 
     async def _async_fetch() -> _Fetched:
         return Ok(_stored(8))
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: contenders that are slow, paused or lose their answers."""
+"""Tests of leases with slow or suspended contenders and lost responses."""
 
 import curio
 from hypothesis import given
@@ -36,19 +36,20 @@
 def test_at_most_one_holds_and_tokens_grow(
     steps: list[tuple[str, str, str, int]],
 ) -> None:
-    """Two instances that both believe to hold the lease would give engines
-    conflicting orders. Whatever is lost, late or down, at most one believes
-    it, and each term's token is higher than any before.
+    """Two instances that both consider themselves the holder would send
+    conflicting commands to engines. With any lost response, delay or outage
+    there must be at most one holder, and each term's token must be higher than
+    all earlier tokens.
     """
     clock = [0.0]
     platform = FakePlatform()
     leases = {name: _lease(platform, name, clock) for name in NAMES}
     terms: dict[int, str] = {}
-    for name, what, fault, passed_ms in steps:
-        clock[0] += passed_ms
+    for name, action, fault, elapsed_ms in steps:
+        clock[0] += elapsed_ms
         platform.fault = fault
         lease = leases[name]
-        if what == 'try':
+        if action == 'try':
             curio.run(lease.async_try)
         else:
             curio.run(lease.async_release)
@@ -60,10 +61,11 @@
             assert token == max(terms)
 
 
-def test_paused_holder_is_succeeded_with_a_higher_token() -> None:
-    """The holder is frozen for longer than its lease. Another takes over after
-    watching for the whole duration; when the first one thaws it holds nothing,
-    and an order it still sends carries the lower token.
+def test_suspended_holder_is_replaced_with_a_higher_token() -> None:
+    """The holder is suspended for longer than its lease. Another contender
+    takes over after it has seen the lease unchanged for the whole duration.
+    When the first one resumes, it no longer holds the lease, and a command it
+    still sends carries the lower token.
     """
     clock = [0.0]
     platform = FakePlatform()
@@ -79,9 +81,9 @@
     assert not curio.run(first.async_try).unwrap()
 
 
-def test_released_lease_is_free_at_once() -> None:
-    """A planned stop gives the lease back, so engines need not go without
-    orders for its whole duration.
+def test_released_lease_can_be_acquired_immediately() -> None:
+    """A graceful shutdown releases the lease. Otherwise engines would get no
+    commands for the lease's whole duration.
     """
     clock = [0.0]
     platform = FakePlatform()
--- a/tests/process/test_log_buffer.py
+++ b/tests/process/test_log_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines on their way to standard output."""
+"""Tests of buffered log output."""
 
 import os
 
@@ -7,14 +7,14 @@
 from hornbeamdeck.process import log_buffer
 
 
-def test_lines_that_nobody_reads_are_dropped_and_counted(
+def test_lines_are_dropped_and_counted_while_the_reader_is_stalled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever collects the logs stands still and the pipe fills. A process
-    that waited for it would stop in the middle of serving.
+    """The log collector stops reading and the pipe fills up. A process that
+    waited for it would stop while it serves requests.
     """
-    reading, writing = os.pipe()
-    monkeypatch.setattr(log_buffer, 'STDOUT', writing)
+    read_end, write_end = os.pipe()
+    monkeypatch.setattr(log_buffer, 'STDOUT', write_end)
     dropped: list[None] = []
     buffer = log_buffer.LogBuffer(lambda: dropped.append(None))
     for _ in range(log_buffer.MAX_LINES):
@@ -23,11 +23,11 @@
     for _ in range(log_buffer.MAX_LINES):
         buffer.write('y' * 100 + '\n')
     assert dropped
-    read = os.read(reading, 10_000_000)
+    output = os.read(read_end, 10_000_000)
     buffer.write_out()
-    read += os.read(reading, 10_000_000)
-    assert read.startswith(b'x' * 100 + b'\n')
-    assert set(read) == set(b'x\n')
-    os.close(reading)
+    output += os.read(read_end, 10_000_000)
+    assert output.startswith(b'x' * 100 + b'\n')
+    assert set(output) == set(b'x\n')
+    os.close(read_end)
     buffer.write_out()
-    os.close(writing)
+    os.close(write_end)
