--- a/hornbeamdeck/process/front.py
+++ b/hornbeamdeck/process/front.py
@@ -1,4 +1,4 @@
-"""One running front process: opens its addresses, leaves them in order."""
+"""One running gateway process: startup, endpoints and graceful shutdown."""
 
 import importlib
 import math
@@ -22,7 +22,7 @@
 from hornbeamdeck.const import MILLIS_PER_SECOND
 from hornbeamdeck.process.attendance import FLEET_CELL
 from hornbeamdeck.process.beat_pace import BEAT_MS
-from hornbeamdeck.process.front_pages import async_serve_page
+from hornbeamdeck.process.front_pages import async_serve_endpoint
 from hornbeamdeck.process.front_parts import FrontParts, FrontWires
 from hornbeamdeck.process.front_settings import FrontSettings
 from hornbeamdeck.process.membership import STATE_LEAVING
@@ -41,25 +41,26 @@
 
 _LOGGER = structlog.get_logger(prefix='front')
 
-# Callers keep an addresses answer so many times as long as they are told.
-KEPT_TIMES: Final = 3
-# A planned stop ends so long before the platform kills the process.
-STOP_MARGIN_MS: Final = 700
+# Callers may cache the list of addresses for up to this many times its time to
+# live.
+ENTRIES_CACHE_TTLS: Final = 3
+# A graceful shutdown ends this long before the platform kills the process.
+SHUTDOWN_MARGIN_MS: Final = 700
 DRAIN_POLL_MS: Final = 50
-# Between two lines in which an owner tells of its engines' load.
-LOAD_LOG_MS: Final = 2000
+# Interval at which the owner logs the load of its engines.
+LOAD_LOG_INTERVAL_MS: Final = 2000
 # Imported when metrics are first read; see `front_metrics`.
-METRICS_PAGE_MODULE: Final = 'hornbeamdeck.process.front_metrics_page'
-METRICS_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
-# Longest time from a request's first byte to its last.
-REQUEST_MS: Final = 15_000
+METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.front_metrics_page'
+METRICS_CONTENT_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
+# Longest time from the first to the last byte of a request.
+REQUEST_READ_TIMEOUT_MS: Final = 15_000
 
 
 class Front:
-    """A front process, or one of several in a test."""
+    """A gateway process; tests run several of them in one process."""
 
     def __init__(self, settings: FrontSettings, wires: FrontWires) -> None:
-        """Make the parts; `async_start` opens the addresses."""
+        """Create the components; `async_start` opens the addresses."""
         self.settings = settings
         self.parts = FrontParts.from_settings(settings, wires)
         self.proofs = Proofs(
@@ -74,15 +75,15 @@
         )
         self.is_leaving = False
         self.in_flight = 0
-        self._stopped_ms = math.inf
+        self._stop_requested_ms = math.inf
         self._wires = wires
-        self._entry = StoreEntry(self.parts.store, self.parts.membership)
+        self._store_entry = StoreEntry(self.parts.store, self.parts.membership)
         self.listeners: list[Listener] = []
         self._tasks: list[Task] = []
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may be directed to this process."""
         parts = self.parts
         return (
             not self.is_leaving
@@ -91,16 +92,16 @@
         )
 
     async def async_start(self) -> None:
-        """Open the addresses, then begin to follow store and peers."""
+        """Open the addresses, then start the background tasks."""
         settings = self.settings
         metrics_address = Address(settings.address.host, settings.metrics_port)
-        pages = (
-            (settings.ready_address, self._ready_page),
-            (settings.entries_address, self._entries_page),
-            (metrics_address, self._metrics_page),
+        endpoints = (
+            (settings.ready_address, self._ready_endpoint),
+            (settings.entries_address, self._entries_endpoint),
+            (metrics_address, self._metrics_endpoint),
         )
-        for address, page in pages:
-            self.listeners.append(await async_serve_page(address, page))
+        for address, endpoint in endpoints:
+            self.listeners.append(await async_serve_endpoint(address, endpoint))
         peers = await async_setup_listener(
             settings.peer_address,
             make_peer_server(
@@ -111,7 +112,7 @@
                 self.parts.beats.async_answer,
             ),
         )
-        callers = await self._async_listen_to_callers(self._edge())
+        callers = await self._async_listen_to_callers(self._make_edge())
         self.listeners += (peers, callers)
         membership = self.parts.membership
         membership.own = membership.own._replace(
@@ -128,24 +129,31 @@
         )
 
     async def async_stop(self) -> int:
-        """Leave as planned.
+        """Drain the requests in flight, then close everything.
 
-        :returns: how many requests were cut off at the end of the grace time.
+        :returns: how many requests were cut off at the end of the grace
+            period.
         """
         parts = self.parts
         self.is_leaving = True
-        self._stopped_ms = now_ms()
+        self._stop_requested_ms = now_ms()
         parts.membership.own = parts.membership.own._replace(
             state=STATE_LEAVING,
         )
         _LOGGER.info('planned stop begins', in_flight=self.in_flight)
         await parts.beats.async_beat()
         await parts.grants.async_review()
-        await self._async_spawn(self._entry.async_withdraw())
+        await self._async_spawn(self._store_entry.async_withdraw())
         bounds = self.settings.bounds
-        end_ms = self._stopped_ms + bounds.grace_ms - STOP_MARGIN_MS
-        open_ms = self._stopped_ms + KEPT_TIMES * bounds.entries_ttl_ms
-        while now_ms() < end_ms and (self.in_flight or now_ms() < open_ms):
+        deadline_ms = (
+            self._stop_requested_ms + bounds.grace_ms - SHUTDOWN_MARGIN_MS
+        )
+        accept_until_ms = (
+            self._stop_requested_ms + ENTRIES_CACHE_TTLS * bounds.entries_ttl_ms
+        )
+        while now_ms() < deadline_ms and (
+            self.in_flight or now_ms() < accept_until_ms
+        ):
             await sleep(DRAIN_POLL_MS / MILLIS_PER_SECOND)
         cut_off = self.in_flight
         _LOGGER.info('planned stop ends', cut_off=cut_off)
@@ -153,7 +161,7 @@
         return cut_off
 
     async def async_kill(self) -> None:
-        """Close everything at once, as a dying process would."""
+        """Close everything immediately, as if the process had died."""
         for task in self._tasks:
             await task.cancel()
         for listener in self.listeners:
@@ -161,7 +169,7 @@
         await self.parts.peers.async_close()
 
     def reload(self, settings: FrontSettings) -> None:
-        """Take over settings that have changed; addresses stay as they are."""
+        """Apply changed settings; the open addresses are not changed."""
         changed = [
             name
             for name, new, old in zip(
@@ -172,7 +180,7 @@
         self.settings = settings
         _LOGGER.info('settings reloaded', changed=changed)
 
-    def _edge(self) -> Edge:
+    def _make_edge(self) -> Edge:
         parts = self.parts
 
         def _spend(team: str, tokens: int) -> None:
@@ -192,13 +200,13 @@
             metrics=parts.metrics,
             zone=self.settings.availability_zone,
             is_leaving=lambda: self.is_leaving,
-            stop_share=self._stop_share,
+            stop_share=self._elapsed_grace_share,
             in_flight=self._count_in_flight,
         )
 
-    def _stop_share(self) -> float:
-        passed_ms = now_ms() - self._stopped_ms
-        return max(passed_ms / self.settings.bounds.grace_ms, 0)
+    def _elapsed_grace_share(self) -> float:
+        elapsed_ms = now_ms() - self._stop_requested_ms
+        return max(elapsed_ms / self.settings.bounds.grace_ms, 0)
 
     @contextmanager
     def _count_in_flight(self) -> Iterator[None]:
@@ -217,7 +225,7 @@
         ) -> None:
             await async_run_routed(edge, admission, caller)
 
-        answer = make_routed_answer(edge, _async_run)
+        handler = make_routed_answer(edge, _async_run)
 
         def _refuse(bad: BadRequest) -> HttpResponse:
             return refuse_unreadable(edge, bad)
@@ -226,38 +234,38 @@
             limits = self.parts.follower.configuration.limits
             return ReadLimits(
                 idle_ms=limits.idle_timeout_ms,
-                request_ms=REQUEST_MS,
+                request_ms=REQUEST_READ_TIMEOUT_MS,
                 max_body_bytes=limits.max_body_bytes,
                 max_header_bytes=limits.max_header_bytes,
             )
 
         async def _async_serve(sock: socket.socket) -> None:
-            await async_serve_requests(sock, answer, _refuse, _limits())
+            await async_serve_requests(sock, handler, _refuse, _limits())
 
         return await async_setup_listener(self.settings.address, _async_serve)
 
-    def _ready_page(self, _request: HttpRequest) -> HttpResponse:
+    def _ready_endpoint(self, _request: HttpRequest) -> HttpResponse:
         status = HTTPStatus.OK
         if not self.is_ready:
             status = HTTPStatus.SERVICE_UNAVAILABLE
         return HttpResponse(status, {}, b'')
 
-    def _entries_page(self, request: HttpRequest) -> HttpResponse:
+    def _entries_endpoint(self, request: HttpRequest) -> HttpResponse:
         return self._wires.entries_page(
             request,
             self.parts.beats.attendance.usable(),
             self.settings.bounds.entries_ttl_ms,
         )
 
-    def _metrics_page(self, _request: HttpRequest) -> HttpResponse:
-        headers = {'content-type': METRICS_TYPE}
-        self.parts.metrics.note_proofs(
+    def _metrics_endpoint(self, _request: HttpRequest) -> HttpResponse:
+        headers = {'content-type': METRICS_CONTENT_TYPE}
+        self.parts.metrics.record_confirmation_ages(
             self.proofs.configuration_age_ms(),
             self.proofs.engines_age_ms(),
         )
-        module = importlib.import_module(METRICS_PAGE_MODULE)
-        page: bytes = module.render(self.parts.metrics)
-        return HttpResponse(HTTPStatus.OK, headers, page)
+        module = importlib.import_module(METRICS_EXPORT_MODULE)
+        body: bytes = module.render(self.parts.metrics)
+        return HttpResponse(HTTPStatus.OK, headers, body)
 
     async def _async_start_tasks(self) -> None:
         parts = self.parts
@@ -271,23 +279,23 @@
             parts.beats.async_run(),
             parts.scheduler.async_sweep(),
             parts.grants.watch.async_run(),
-            self._async_review(),
-            self._entry.async_publish(),
-            self._entry.async_list(),
+            self._async_review_ownership(),
+            self._store_entry.async_publish(),
+            self._store_entry.async_list(),
         ):
             await self._async_spawn(work)
 
     async def _async_spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(await spawn(work, daemon=True))
 
-    async def _async_review(self) -> None:
-        """Move requests when another instance becomes the owner, for ever."""
+    async def _async_review_ownership(self) -> None:
+        """Move requests when the owner changes; never returns."""
         was_owner = self.parts.is_owner
         logged_ms = 0.0
         while True:
             await sleep(BEAT_MS / MILLIS_PER_SECOND)
             is_owner = self.parts.is_owner
-            if is_owner and now_ms() - logged_ms > LOAD_LOG_MS:
+            if is_owner and now_ms() - logged_ms > LOAD_LOG_INTERVAL_MS:
                 logged_ms = now_ms()
                 self.parts.cells.log_load()
             if is_owner != was_owner:
--- a/hornbeamdeck/process/front_metrics.py
+++ b/hornbeamdeck/process/front_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process that serves routed requests.
+"""Metrics of a gateway process.
 
 Counts are plain numbers; `front_metrics_page` converts them to the metrics
 library's types. Only that module imports the library, and it is imported when
@@ -13,7 +13,8 @@
 
 __all__ = ('BUCKETS_S', 'FrontMetrics', 'LatencyHistogram')
 
-# Bounds around the objectives of today's routes, 0.1 to 1 s, and time limits.
+# Chosen around the latency objectives of the current routes, 0.1 to 1 s, and
+# around the time limits.
 BUCKETS_S: Final = (0.01, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 15.0)
 
 
@@ -48,7 +49,7 @@
         self.peer_bytes: dict[str, int] = defaultdict(int)
         self.in_flight = 0
         self.configuration_version = 0
-        self.proof_ages_ms: dict[str, float] = {}
+        self.confirmation_ages_ms: dict[str, float] = {}
         self.log_lines_dropped = 0
 
     def ended(
@@ -58,25 +59,25 @@
         code: str,
         total_ms: float,
     ) -> None:
-        """Count a request that got its final word."""
+        """Count a request that received its final response."""
         self.requests[service, str(priority), code] += 1
         self.total_latencies[str(priority)].observe(total_ms)
 
     def first_token(self, first_ms: float) -> None:
-        """Note a time to first token."""
+        """Record a time to first token."""
         self.first_token_latencies.observe(first_ms)
 
     def refused(self, code: str) -> None:
         """Count a request refused before it was admitted."""
         self.edge_refusals[code] += 1
 
-    def note_proofs(
+    def record_confirmation_ages(
         self,
         configuration_age_ms: float,
         engines_age_ms: float,
     ) -> None:
-        """Note how old the proofs are of what is held of the store."""
-        self.proof_ages_ms = {
+        """Record the ages of the last freshness confirmations."""
+        self.confirmation_ages_ms = {
             'configuration': configuration_age_ms,
             'engines': engines_age_ms,
         }
--- a/hornbeamdeck/process/front_metrics_page.py
+++ b/hornbeamdeck/process/front_metrics_page.py
@@ -1,4 +1,4 @@
-"""Exports a front process's metrics in the Prometheus text format."""
+"""Exports the metrics of a gateway process in the Prometheus text format."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from itertools import accumulate
@@ -22,39 +22,39 @@
 __all__ = ('make_registry', 'render')
 
 
-class _FrontCollector(Collector):
-    """Collects the counts of a process on each read of the metrics page."""
+class _GatewayCollector(Collector):
+    """Collects the counts of a process on each read of the endpoint."""
 
     def __init__(self, metrics: FrontMetrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
         """Return every metric family, including those without samples."""
-        yield from _requests(self._metrics)
-        yield from _connections(self._metrics)
-        yield from _store_state(self._metrics)
+        yield from _request_metrics(self._metrics)
+        yield from _connection_metrics(self._metrics)
+        yield from _store_metrics(self._metrics)
 
 
 def make_registry(metrics: FrontMetrics) -> CollectorRegistry:
-    """Make a registry that collects the counts of a process."""
+    """Create a registry that collects the counts of a process."""
     registry = CollectorRegistry()
-    registry.register(_FrontCollector(metrics))
+    registry.register(_GatewayCollector(metrics))
     return registry
 
 
 def render(metrics: FrontMetrics) -> bytes:
-    """Write all metrics in the text format."""
+    """Return all metrics in the Prometheus text format."""
     return generate_latest(make_registry(metrics))
 
 
-def _requests(metrics: FrontMetrics) -> Iterator[Metric]:
+def _request_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
     requests = CounterMetricFamily(
         'hornbeamdeck_routed_requests',
         'Requests that were admitted, by how they ended.',
         labels=('service', 'priority', 'code'),
     )
-    for ended, count in metrics.requests.items():
-        requests.add_metric(ended, count)
+    for request_labels, count in metrics.requests.items():
+        requests.add_metric(request_labels, count)
     yield requests
     total = HistogramMetricFamily(
         'hornbeamdeck_routed_total_seconds',
@@ -84,7 +84,7 @@
     )
 
 
-def _connections(metrics: FrontMetrics) -> Iterator[Metric]:
+def _connection_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
     yield _counter(
         'hornbeamdeck_store_calls',
         'Calls to the store by role.',
@@ -104,7 +104,7 @@
     )
 
 
-def _store_state(metrics: FrontMetrics) -> Iterator[Metric]:
+def _store_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
     yield GaugeMetricFamily(
         'hornbeamdeck_routed_configuration_version',
         'Version of the configuration in force.',
@@ -115,7 +115,7 @@
         'Age of the last proof that what is held is what the store holds.',
         labels=('held',),
     )
-    for held, age_ms in metrics.proof_ages_ms.items():
+    for held, age_ms in metrics.confirmation_ages_ms.items():
         ages.add_metric((held,), age_ms / MILLIS_PER_SECOND)
     yield ages
 
--- a/hornbeamdeck/process/front_pages.py
+++ b/hornbeamdeck/process/front_pages.py
@@ -1,4 +1,4 @@
-"""Serves the pages that a front process answers itself."""
+"""Serves the HTTP endpoints of the gateway process itself."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -12,28 +12,30 @@
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
 from hornbeamdeck.connection.server import ServerConnection
 
-__all__ = ('Page', 'async_serve_page')
+__all__ = ('Endpoint', 'async_serve_endpoint')
 
-Page: TypeAlias = Callable[[HttpRequest], HttpResponse]
+Endpoint: TypeAlias = Callable[[HttpRequest], HttpResponse]
 
 
-async def async_serve_page(address: Address, page: Page) -> Listener:
-    """Open an address of its own for one page.
+async def async_serve_endpoint(
+    address: Address, endpoint: Endpoint
+) -> Listener:
+    """Open a separate address for one endpoint.
 
-    :raises OSError: where the address can't be bound.
+    :raises OSError: if the address can't be bound.
     """
 
-    async def _async_answer(
+    async def _async_respond(
         request: HttpRequest,
         caller: ServerConnection,
     ) -> None:
-        await caller.async_respond(page(request))
+        await caller.async_respond(endpoint(request))
 
     async def _async_serve(sock: socket.socket) -> None:
-        await async_serve_requests(sock, _async_answer, _refusal)
+        await async_serve_requests(sock, _async_respond, _bad_request_response)
 
     return await async_setup_listener(address, _async_serve)
 
 
-def _refusal(bad: BadRequest) -> HttpResponse:
+def _bad_request_response(bad: BadRequest) -> HttpResponse:
     return HttpResponse(bad.status, {}, b'')
--- a/hornbeamdeck/process/front_settings.py
+++ b/hornbeamdeck/process/front_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process that serves routed requests: JSON, checked."""
+"""Settings of a gateway process, read from JSON and validated."""
 
 from typing import Any, Final, NamedTuple, Self
 
@@ -18,22 +18,22 @@
 MAX_PORT: Final = 65_535
 
 _ADDRESS: Final = vol.All(str, ip_and_port)
-_MILLIS: Final = vol.All(vol.Coerce(int), vol.Range(min=0))
-_AMOUNT: Final = vol.All(vol.Coerce(float), vol.Range(min=0))
+_MILLISECONDS: Final = vol.All(vol.Coerce(int), vol.Range(min=0))
+_NON_NEGATIVE: Final = vol.All(vol.Coerce(float), vol.Range(min=0))
 
 BOUNDS_SCHEMA: Final = vol.Schema(
     {
-        vol.Required('stability_ms'): _MILLIS,
-        vol.Required('drain_ms'): _MILLIS,
-        vol.Required('grace_s'): _AMOUNT,
-        vol.Required('configuration_apply_ms'): _MILLIS,
-        vol.Required('revocation_ms'): _MILLIS,
-        vol.Required('retry_ratio'): _AMOUNT,
-        vol.Required('retry_window_s'): _AMOUNT,
-        vol.Required('retry_slack'): _AMOUNT,
-        vol.Required('quota_window_s'): _AMOUNT,
-        vol.Required('quota_slack'): _AMOUNT,
-        vol.Required('entries_ttl_ms'): _MILLIS,
+        vol.Required('stability_ms'): _MILLISECONDS,
+        vol.Required('drain_ms'): _MILLISECONDS,
+        vol.Required('grace_s'): _NON_NEGATIVE,
+        vol.Required('configuration_apply_ms'): _MILLISECONDS,
+        vol.Required('revocation_ms'): _MILLISECONDS,
+        vol.Required('retry_ratio'): _NON_NEGATIVE,
+        vol.Required('retry_window_s'): _NON_NEGATIVE,
+        vol.Required('retry_slack'): _NON_NEGATIVE,
+        vol.Required('quota_window_s'): _NON_NEGATIVE,
+        vol.Required('quota_slack'): _NON_NEGATIVE,
+        vol.Required('entries_ttl_ms'): _MILLISECONDS,
     },
 )
 
@@ -67,17 +67,20 @@
 
 
 class Bounds(NamedTuple):
-    """What the operator promises and allows; times in milliseconds.
-
-    :param stability_ms: how long a machine must have been calm to be judged.
-    :param drain_ms: a leaving engine gets no new work after this.
-    :param grace_ms: from the request to stop until the process is killed.
-    :param configuration_apply_ms: a version is in force after this.
-    :param revocation_ms: a revoked key is dead after this, everywhere.
-    :param retry_ratio: second tries allowed for each request of a service.
-    :param retry_slack: second tries allowed besides, in a window.
+    """Limits that the operator guarantees or allows; times in milliseconds.
+
+    :param stability_ms: how long a machine must have run without disturbance
+        before it is judged.
+    :param drain_ms: a draining engine gets no new requests after this time.
+    :param grace_ms: time from the stop request until the process is killed.
+    :param configuration_apply_ms: a new configuration version is in force on
+        all instances after this time.
+    :param revocation_ms: a revoked key is refused by all instances after this
+        time.
+    :param retry_ratio: retries allowed per request of a service.
+    :param retry_slack: additional retries allowed per window.
     :param quota_slack: tokens that a team may spend beyond its limit.
-    :param entries_ttl_ms: how long callers may keep an addresses answer.
+    :param entries_ttl_ms: how long callers may cache the list of addresses.
     """
 
     stability_ms: int
@@ -94,31 +97,33 @@
 
     @classmethod
     def from_config(cls, checked: dict[str, Any]) -> Self:
-        """Build from a checked section; what is in seconds becomes ms."""
+        """Build from a validated section; converts seconds to milliseconds."""
         converted = {
-            f'{name.removesuffix("_s")}_ms': amount * MILLIS_PER_SECOND
-            for name, amount in checked.items()
+            f'{name.removesuffix("_s")}_ms': setting * MILLIS_PER_SECOND
+            for name, setting in checked.items()
             if name.endswith('_s')
         }
-        kept = {
-            name: amount
-            for name, amount in checked.items()
+        unconverted = {
+            name: setting
+            for name, setting in checked.items()
             if not name.endswith('_s')
         }
-        return cls(**kept, **converted)
+        return cls(**unconverted, **converted)
 
 
 class FrontSettings(NamedTuple):
-    """What such a process is told when it starts.
+    """Settings of a gateway process.
 
     :param address: where callers send their requests.
-    :param ready_address: where the platform asks whether it is ready.
-    :param entries_address: where callers ask which addresses to use.
+    :param ready_address: where the platform checks whether it is ready.
+    :param entries_address: where callers request the addresses to use.
     :param peer_address: where other instances connect.
-    :param seed_peers: peer addresses to ask while the store is away.
+    :param seed_peers: addresses of peers that are requested for a snapshot
+        while the store is down.
     :param is_first_start: whether the whole fleet starts for the first time.
     :param metrics_port: where metrics are served; 0 lets the system choose.
-    :param cores: processor share, the weight when owners are picked.
+    :param cores: processor share, used as this instance's weight in the choice
+        of owners.
     """
 
     instance_id: str
@@ -138,9 +143,9 @@
 
     @classmethod
     def from_config(cls, raw: dict[str, Any]) -> Self:
-        """Check raw settings and build from them.
+        """Build from raw settings and validate them.
 
-        :raises voluptuous.MultipleInvalid: where a field is wrong.
+        :raises voluptuous.MultipleInvalid: if a field is invalid.
         """
         checked = FRONT_SCHEMA(raw)
         bounds = Bounds.from_config(checked.pop('bounds'))
--- a/hornbeamdeck/process/serve_front.py
+++ b/hornbeamdeck/process/serve_front.py
@@ -1,4 +1,4 @@
-"""Runs one front process until it is told to stop."""
+"""Runs one gateway process until it receives a stop signal."""
 
 import os
 import signal
@@ -21,14 +21,15 @@
 
 _LOGGER = structlog.get_logger(prefix='front')
 
-# How often the settings file is looked at; it may change without a signal.
-LOOK_MS: Final = 1000
+# The settings file is checked periodically because it may change without a
+# signal.
+FILE_CHECK_INTERVAL_MS: Final = 1000
 
 
 def load_front_settings(
     path: str,
 ) -> Result[FrontSettings, tuple[SettingsError, ...]]:
-    """Read and check the settings file of a front process."""
+    """Read and validate the settings file of a gateway process."""
     return load_checked(path, FrontSettings.from_config)
 
 
@@ -37,53 +38,53 @@
     settings: FrontSettings,
     wires: FrontWires,
 ) -> int:
-    """Serve until SIGTERM or SIGINT, then leave as planned.
+    """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-    :param path: of the settings file, read again when it changes.
-    :returns: how many requests were cut off at the end of the grace time.
+    :param path: path of the settings file, which is reloaded on changes.
+    :returns: how many requests were cut off at the end of the grace period.
     """
-    told_to_stop = stop_event()
-    told_to_reload = _reload_event()
-    front = Front(settings, wires)
-    buffer = LogBuffer(front.parts.metrics.count_dropped_log_line)
+    stop_requested = stop_event()
+    reload_requested = _reload_event()
+    gateway = Front(settings, wires)
+    buffer = LogBuffer(gateway.parts.metrics.count_dropped_log_line)
     setup_logs(
         level=settings.log_level,
         instance_id=settings.instance_id,
         stream=buffer,
     )
     await spawn(buffer.async_run, daemon=True)
-    await front.async_start()
-    await spawn(_async_reload, path, front, told_to_reload, daemon=True)
-    await told_to_stop.wait()
-    cut_off = await front.async_stop()
+    await gateway.async_start()
+    await spawn(_async_reload, path, gateway, reload_requested, daemon=True)
+    await stop_requested.wait()
+    cut_off = await gateway.async_stop()
     buffer.write_out()
     return cut_off
 
 
 def _reload_event() -> UniversalEvent:
-    told_to_reload = UniversalEvent()
+    reload_requested = UniversalEvent()
 
     def _on_signal(_number: int, _frame: object) -> None:
-        told_to_reload.set()
+        reload_requested.set()
 
     signal.signal(signal.SIGHUP, _on_signal)
-    return told_to_reload
+    return reload_requested
 
 
 async def _async_reload(
     path: str,
-    front: Front,
-    told_to_reload: UniversalEvent,
+    gateway: Front,
+    reload_requested: UniversalEvent,
 ) -> None:
-    """Read the settings again when told to or when the file has changed."""
-    seen = _file_state(path)
+    """Reload the settings on SIGHUP or when the file has changed."""
+    loaded_state = _file_state(path)
     while True:
-        await sleep(LOOK_MS / MILLIS_PER_SECOND)
+        await sleep(FILE_CHECK_INTERVAL_MS / MILLIS_PER_SECOND)
         state = _file_state(path)
-        if not told_to_reload.is_set() and state == seen:
+        if not reload_requested.is_set() and state == loaded_state:
             continue
-        told_to_reload.clear()
-        seen = state
+        reload_requested.clear()
+        loaded_state = state
         loaded = load_front_settings(path)
         if isinstance(loaded, Err):
             _LOGGER.error(
@@ -91,12 +92,12 @@
                 errors=[str(each) for each in loaded.err_value],
             )
             continue
-        front.reload(loaded.ok_value)
+        gateway.reload(loaded.ok_value)
 
 
 def _file_state(path: str) -> tuple[int, int]:
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return (0, 0)
-    return (found.st_mtime_ns, found.st_size)
+    return (status.st_mtime_ns, status.st_size)
--- a/tests/process/test_front_metrics.py
+++ b/tests/process/test_front_metrics.py
@@ -1,4 +1,4 @@
-"""Export of the counts of a front process."""
+"""Tests of the metrics export of a gateway process."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     metrics.count_store_call('engines')
     metrics.count_peer_bytes('sent', 17)
     metrics.count_dropped_log_line()
-    metrics.note_proofs(500, 250)
+    metrics.record_confirmation_ages(500, 250)
     metrics.in_flight = 3
     metrics.configuration_version = 7
     sample = make_registry(metrics).get_sample_value
--- a/tests/process/test_front_settings.py
+++ b/tests/process/test_front_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a front process."""
+"""Tests of the settings of a gateway process."""
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ('field', 'text'),
+    ('field', 'raw'),
     [
         ('address', 'nowhere'),
         ('fleet_secret', 'short'),
@@ -29,10 +29,10 @@
 def test_errors_name_file_and_field(
     tmp_path: pathlib.Path,
     field: str,
-    text: object,
+    raw: object,
 ) -> None:
-    path = tmp_path / 'front.json'
-    path.write_text(json.dumps({field: text}))
+    path = tmp_path / 'gateway.json'
+    path.write_text(json.dumps({field: raw}))
     errors = load_front_settings(str(path)).unwrap_err()
-    shown = [str(error) for error in errors]
-    assert any(f'{path}: {field}' in each for each in shown)
+    messages = [str(error) for error in errors]
+    assert any(f'{path}: {field}' in each for each in messages)
