--- a/hornbeamdeck/process/follower.py
+++ b/hornbeamdeck/process/follower.py
@@ -105,11 +105,11 @@
         """The document's text, which is sent to peers."""
 
 
-_Held = TypeVar('_Held', bound=HeldDocument)
-_Parsed: TypeAlias = Result[_Held, tuple[object, ...]]
+_Configuration = TypeVar('_Configuration', bound=HeldDocument)
+_Parsed: TypeAlias = Result[_Configuration, tuple[object, ...]]
 
 
-class DocumentKind(NamedTuple, Generic[_Held]):
+class DocumentKind(NamedTuple, Generic[_Configuration]):
     """Functions and initial value for the kind of document to follow.
 
     :param empty: the configuration used before the first document is read.
@@ -118,16 +118,16 @@
     :param on_adopted: called with each configuration that comes into force.
     """
 
-    empty: _Held
-    parse: Callable[[str, int], _Parsed[_Held]]
+    empty: _Configuration
+    parse: Callable[[str, int], _Parsed[_Configuration]]
     fetch: Callable[[], Awaitable[_Fetched]]
-    on_adopted: Callable[[_Held], Awaitable[None]]
+    on_adopted: Callable[[_Configuration], Awaitable[None]]
 
 
-class ConfigurationFollower(Generic[_Held]):
+class ConfigurationFollower(Generic[_Configuration]):
     """Holds the configuration in force; its version never decreases."""
 
-    def __init__(self, kind: DocumentKind[_Held]) -> None:
+    def __init__(self, kind: DocumentKind[_Configuration]) -> None:
         """Start with the empty configuration, version 0."""
         self.configuration = kind.empty
         self._kind = kind
--- a/hornbeamdeck/process/front.py
+++ b/hornbeamdeck/process/front.py
@@ -59,10 +59,10 @@
 class Front:
     """A gateway process; tests run several of them in one process."""
 
-    def __init__(self, settings: FrontSettings, wires: FrontWires) -> None:
+    def __init__(self, settings: FrontSettings, adapter: FrontWires) -> None:
         """Create the components; `async_start` opens the addresses."""
         self.settings = settings
-        self.parts = FrontParts.from_settings(settings, wires)
+        self.parts = FrontParts.from_settings(settings, adapter)
         self.proofs = Proofs(
             ProofParts(
                 freshness=self.parts.freshness,
@@ -76,7 +76,7 @@
         self.is_leaving = False
         self.in_flight = 0
         self._stop_requested_ms = math.inf
-        self._wires = wires
+        self._adapter = adapter
         self._store_entry = StoreEntry(self.parts.store, self.parts.membership)
         self.listeners: list[Listener] = []
         self._tasks: list[Task] = []
@@ -187,7 +187,7 @@
             parts.spending.add(team, tokens, now_ms())
 
         return Edge(
-            dialect=self._wires.dialect,
+            dialect=self._adapter.dialect,
             configuration=lambda: parts.follower.configuration,
             proofs=self.proofs,
             connections=KeptConnections(
@@ -225,7 +225,7 @@
         ) -> None:
             await async_run_routed(edge, admission, caller)
 
-        handler = make_routed_answer(edge, _async_run)
+        respond = make_routed_answer(edge, _async_run)
 
         def _refuse(bad: BadRequest) -> HttpResponse:
             return refuse_unreadable(edge, bad)
@@ -240,7 +240,7 @@
             )
 
         async def _async_serve(sock: socket.socket) -> None:
-            await async_serve_requests(sock, handler, _refuse, _limits())
+            await async_serve_requests(sock, respond, _refuse, _limits())
 
         return await async_setup_listener(self.settings.address, _async_serve)
 
@@ -251,7 +251,7 @@
         return HttpResponse(status, {}, b'')
 
     def _entries_endpoint(self, request: HttpRequest) -> HttpResponse:
-        return self._wires.entries_page(
+        return self._adapter.entries_page(
             request,
             self.parts.beats.attendance.usable(),
             self.settings.bounds.entries_ttl_ms,
--- a/hornbeamdeck/process/front_parts.py
+++ b/hornbeamdeck/process/front_parts.py
@@ -99,10 +99,12 @@
     spending: SpendingLog
 
     @classmethod
-    def from_settings(cls, settings: FrontSettings, wires: FrontWires) -> Self:
+    def from_settings(
+        cls, settings: FrontSettings, adapter: FrontWires
+    ) -> Self:
         """Create all components; no address is opened yet."""
         metrics = FrontMetrics()
-        store = wires.open_store(
+        store = adapter.open_store(
             settings.platform_address,
             metrics.count_store_call,
         )
@@ -136,7 +138,7 @@
         )
         follower = _make_follower(
             _make_configuration_read(store, readers),
-            wires.parse,
+            adapter.parse,
             metrics,
             cells,
         )
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -140,10 +140,10 @@
             is_leaving=lambda: self.is_leaving,
             in_flight=self._count_in_flight,
         )
-        handler = make_answer(routing)
+        respond = make_answer(routing)
 
         async def _async_serve(sock: socket.socket) -> None:
-            await async_serve_requests(sock, handler, refuse_unreadable)
+            await async_serve_requests(sock, respond, refuse_unreadable)
 
         return _async_serve
 
--- a/hornbeamdeck/process/serve_front.py
+++ b/hornbeamdeck/process/serve_front.py
@@ -36,7 +36,7 @@
 async def async_serve_front(
     path: str,
     settings: FrontSettings,
-    wires: FrontWires,
+    adapter: FrontWires,
 ) -> int:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
@@ -45,7 +45,7 @@
     """
     stop_requested = stop_event()
     reload_requested = _reload_event()
-    gateway = Front(settings, wires)
+    gateway = Front(settings, adapter)
     buffer = LogBuffer(gateway.parts.metrics.count_dropped_log_line)
     setup_logs(
         level=settings.log_level,
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -12,7 +12,7 @@
 from hornbeamdeck.process.follower import ConfigurationFollower, DocumentKind
 
 
-class _Held(NamedTuple):
+class _Document(NamedTuple):
     version: int
     document: str
 
@@ -24,7 +24,7 @@
 _Fetched = Result[StoredObject | None, PlatformDown]
 
 
-async def _async_ignore(_held: _Held) -> None:
+async def _async_ignore(_document: _Document) -> None:
     """Do nothing."""
 
 
@@ -36,24 +36,24 @@
     monkeypatch: pytest.MonkeyPatch,
     *,
     fetch: Callable[[], Awaitable[_Fetched]],
-    peer_gives: int,
+    peer_version: int,
 ) -> int:
     """Run one round of fetches after a peer has reported version 7.
 
-    :param peer_gives: the version that the peer returns; 0 for none.
+    :param peer_version: the version that the peer returns; 0 for none.
     :returns: the version in force afterwards.
     """
     kind = DocumentKind(
-        empty=_Held(0, ''),
-        parse=lambda text, version: Ok(_Held(version, text)),
+        empty=_Document(0, ''),
+        parse=lambda text, version: Ok(_Document(version, text)),
         fetch=fetch,
         on_adopted=_async_ignore,
     )
     follower = ConfigurationFollower(kind)
 
     async def _async_fetch_from_peer(_peer_id: str) -> None:
-        if peer_gives:
-            await follower.async_note(_stored(peer_gives))
+        if peer_version:
+            await follower.async_note(_stored(peer_version))
 
     async def _async_sleep(_seconds: float) -> None:
         raise _SleepReached
@@ -81,8 +81,8 @@
         calls.append('fetch')
         return Err(PlatformDown('down'))
 
-    held = _follow(monkeypatch, fetch=_async_fetch, peer_gives=7)
-    assert held == 7
+    version = _follow(monkeypatch, fetch=_async_fetch, peer_version=7)
+    assert version == 7
     assert not calls
 
 
@@ -96,4 +96,4 @@
     async def _async_fetch() -> _Fetched:
         return Ok(_stored(8))
 
-    assert _follow(monkeypatch, fetch=_async_fetch, peer_gives=0) == 8
+    assert _follow(monkeypatch, fetch=_async_fetch, peer_version=0) == 8
