--- a/hornbeamdeck/platform/__init__.py
+++ b/hornbeamdeck/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the users' platform and the product."""
+"""Adapter between the users' platform and the scheduler."""
--- a/hornbeamdeck/platform/__main__.py
+++ b/hornbeamdeck/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a front process on the platform."""
+"""Starts a gateway process on the users' platform."""
 
 import os
 import sys
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Serve with the settings that the platform has written."""
+    """Run a gateway with the settings file that the platform has written."""
     path = os.environ.get(SETTINGS_VARIABLE, '')
     loaded = load_front_settings(path)
     if isinstance(loaded, Err):
--- a/hornbeamdeck/platform/documents.py
+++ b/hornbeamdeck/platform/documents.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration and engine entries."""
+"""Parses the platform's configuration document and engine entries."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -28,11 +28,11 @@
     key_digest,
 )
 
-__all__ = ('parse_configuration', 'to_engine')
+__all__ = ('parse_configuration', 'parse_engine')
 
 _LOGGER = structlog.get_logger(prefix='documents')
 
-_UNREADABLE: Final = (ValueError, TypeError, LookupError, RecursionError)
+_PARSE_ERRORS: Final = (ValueError, TypeError, LookupError, RecursionError)
 
 _COUNT: Final = vol.All(vol.Coerce(int), vol.Range(min=0))
 _AMOUNT: Final = vol.All(vol.Coerce(float), vol.Range(min=0))
@@ -118,7 +118,7 @@
         vol.Optional('zone', default=''): str,
         vol.Optional('slots', default=0): vol.All(int, vol.Range(min=0)),
         vol.Required('state'): vol.In((STATE_READY, STATE_DRAINING)),
-        # The start of the engine's incarnation, Unix milliseconds.
+        # When the engine's incarnation started, in Unix milliseconds.
         vol.Optional('born', default=0): int,
     },
     extra=vol.REMOVE_EXTRA,
@@ -129,20 +129,25 @@
     text: str,
     version: int,
 ) -> Result[RoutedConfiguration, tuple[object, ...]]:
-    """Read the text of a stored configuration."""
+    """Parse the text of a stored configuration.
+
+    :returns: the configuration, or the errors found in the text.
+    """
     try:
         return Ok(_to_configuration(text, version))
     except vol.MultipleInvalid as invalid:
         return Err(tuple(invalid.errors))
-    except _UNREADABLE as error:
+    except _PARSE_ERRORS as error:
         return Err((repr(error),))
 
 
-def to_engine(name: str, spec: Any) -> Engine | None:
-    """Read an engine's entry; `None` where it names no engine to use.
+def parse_engine(name: str, spec: Any) -> Engine | None:
+    """Parse an engine's entry.
+
+    Other programs may write entries too. Each entry is checked on its own, so
+    that an invalid one doesn't make the fleet lose the other engines.
 
-    Entries may come from other writers. Each is judged alone: one that can't
-    be read must not cost the fleet the others.
+    :returns: the engine, or `None` if the entry is invalid.
     """
     try:
         entry = _ENTRY(spec)
@@ -170,7 +175,7 @@
     return RoutedConfiguration(
         version=version,
         document=text,
-        routes=_by_host(map(_to_route, raw['routes'])),
+        routes=_routes_by_host(map(_to_route, raw['routes'])),
         services=MappingProxyType(
             {
                 service[FIELD_NAME]: _to_traits(service.get('engine'))
@@ -185,7 +190,9 @@
     )
 
 
-def _by_host(routes: Iterable[Route]) -> Mapping[str, Mapping[str, Route]]:
+def _routes_by_host(
+    routes: Iterable[Route],
+) -> Mapping[str, Mapping[str, Route]]:
     by_host: dict[str, dict[str, Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, {})[route.path_prefix] = route
--- a/hornbeamdeck/platform/names.py
+++ b/hornbeamdeck/platform/names.py
@@ -1,28 +1,30 @@
-"""The platform's names on the wire, each with what it holds."""
+"""Header names, paths, object kinds and fields that the platform defines."""
 
 from typing import Final
 
-# Headers, in lower case as they are read.
-HEADER_REQUEST: Final = 'hornbeamdeck-request-id'
-# How long the caller will wait; towards an engine, how long it may work.
-HEADER_PATIENCE_MS: Final = 'hornbeamdeck-deadline-ms'
-# Tokens of the prompt and most tokens of the answer, joined by a comma.
-HEADER_TOKENS: Final = 'hornbeamdeck-token-counts'
-# Parts of the prompt in order, ID:TOKENS joined by commas.
-HEADER_PARTS: Final = 'hornbeamdeck-prompt-prefix'
+# Header names are in lower case, as the HTTP parser returns them.
+HEADER_REQUEST_ID: Final = 'hornbeamdeck-request-id'
+# In a request from a caller: the client timeout. In a request to an engine:
+# how long the engine may work on it.
+HEADER_CLIENT_TIMEOUT_MS: Final = 'hornbeamdeck-deadline-ms'
+# Prompt tokens and the maximum of response tokens, separated by a comma.
+HEADER_TOKEN_COUNTS: Final = 'hornbeamdeck-token-counts'
+# The parts of the prompt in order: ID:TOKENS, separated by commas.
+HEADER_PROMPT_PARTS: Final = 'hornbeamdeck-prompt-prefix'
 HEADER_EXPECTED_TOKENS: Final = 'hornbeamdeck-length-hint'
-HEADER_ENGINE: Final = 'hornbeamdeck-expect-instance'
+HEADER_EXPECTED_ENGINE: Final = 'hornbeamdeck-expect-instance'
 HEADER_TEAM: Final = 'hornbeamdeck-tenant'
-# An engine's signature below its answer.
-HEADER_SEAL: Final = 'hornbeamdeck-response-seal'
-# An engine's word that it did not run the request.
+# The engine's signature of its response.
+HEADER_RESPONSE_SEAL: Final = 'hornbeamdeck-response-seal'
+# Set by an engine that rejects a request and did not run it.
 HEADER_NOT_RUN: Final = 'hornbeamdeck-not-executed'
-HEADER_LAST_EVENT: Final = 'last-event-id'
+HEADER_LAST_EVENT_ID: Final = 'last-event-id'
 
-# Headers that the system alone may set towards an engine.
-SYSTEM_HEADERS: Final = frozenset(
+# Headers of engine requests that only the gateway may set. They are removed
+# from requests of callers.
+GATEWAY_ONLY_HEADERS: Final = frozenset(
     (
-        HEADER_ENGINE,
+        HEADER_EXPECTED_ENGINE,
         HEADER_TEAM,
         'hornbeamdeck-hold',
         'hornbeamdeck-pin-ms',
@@ -32,15 +34,15 @@
     ),
 )
 
-# Kinds of objects in the store.
+# Kinds and names of objects in the store.
 KIND_CONFIGURATION: Final = 'config'
 NAME_CONFIGURATION: Final = 'main'
 KIND_ENGINES: Final = 'servers'
-# The kind of our own in which instances find each other.
+# Instances publish their status under this kind and find each other by it.
 KIND_INSTANCES: Final = 'instances'
 PATH_OBJECTS: Final = '/v1/objects'
 
-# States of an engine's entry; any other names no engine to use.
+# States of an engine's entry. Entries with any other state are ignored.
 STATE_READY: Final = 'ready'
 STATE_DRAINING: Final = 'draining'
 
--- a/hornbeamdeck/platform/pages.py
+++ b/hornbeamdeck/platform/pages.py
@@ -1,4 +1,4 @@
-"""Answers the platform's callers that ask where to connect."""
+"""Endpoint that returns the addresses of usable instances to callers."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 __all__ = ('entries_page',)
 
 PATH_ENTRIES: Final = '/v1/resolve'
-# Callers take so many addresses from one answer.
+# Callers read at most this many addresses from one response.
 MAX_ADDRESSES: Final = 64
 
 
@@ -21,18 +21,21 @@
     usable: list[InstanceStatus],
     ttl_ms: int,
 ) -> HttpResponse:
-    """Name the addresses to use.
+    """Return the addresses that callers may connect to.
 
-    Callers pick one of them at random, so all usable instances are named:
-    any choice by zone would load the two machines of a small zone with the
-    callers of a large one.
+    Callers pick one of the addresses at random, so the response lists all
+    usable instances. A choice by zone would load the two machines of a small
+    zone with the callers of a large one.
+
+    :param usable: the instances that callers may connect to.
+    :param ttl_ms: how long callers may cache the response.
     """
     if request.path != PATH_ENTRIES:
         return HttpResponse(HTTPStatus.NOT_FOUND, {}, b'')
     if not usable:
         return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, {}, b'')
     chosen = random.sample(usable, min(len(usable), MAX_ADDRESSES))
-    answer = {
+    body = {
         'addresses': [str(status.address) for status in chosen],
         'ttl_s': ttl_ms / MILLIS_PER_SECOND,
     }
@@ -40,5 +43,5 @@
     return HttpResponse(
         HTTPStatus.OK,
         headers,
-        json.dumps(answer).encode(ENCODING),
+        json.dumps(body).encode(ENCODING),
     )
--- a/hornbeamdeck/platform/store.py
+++ b/hornbeamdeck/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, in the product's types."""
+"""Client of the platform's store, with the scheduler's own types."""
 
 import json
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from hornbeamdeck.connection.platform import PlatformDown, WatchGap
 from hornbeamdeck.connection.platform_calls import PlatformCalls
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.platform.documents import to_engine
+from hornbeamdeck.platform.documents import parse_engine
 from hornbeamdeck.platform.names import (
     KIND_CONFIGURATION,
     KIND_ENGINES,
@@ -34,58 +34,69 @@
 
 _LOGGER = structlog.get_logger(prefix='store')
 
-# The store answers in milliseconds; when slow, in a few hundred.
-TIMEOUT_MS: Final = 900
-# What a watch may take beyond the wait that it asks for. One that hangs holds
-# up the news of keys taken away, so it is given up sooner than a read.
+# The store responds within milliseconds, or a few hundred when it is slow.
+CALL_TIMEOUT_MS: Final = 900
+# How long a watch may take beyond the wait time that it requests. A watch that
+# hangs delays the revocation of keys, so it times out sooner than a read.
 WATCH_GRACE_MS: Final = 400
-# Pages of a list, each of about 500 entries.
+# Upper limit of pages read for one list. A page has about 500 entries.
 MAX_PAGES: Final = 100
 
 
-class _Listed(NamedTuple):
-    """All objects of a kind, and the revision to watch from."""
+class _ObjectList(NamedTuple):
+    """All objects of a kind, and the revision to watch from.
+
+    :param at: the store's revision when the first page was read.
+    """
 
     at: int
     entries: list[Any]
 
 
 class _Store:
-    """The store's calls; a failure of any kind is an outage."""
+    """Calls to the store.
+
+    Every failure counts as an outage and is returned as `PlatformDown`. Only a
+    watch from a revision that is too old returns `WatchGap`.
+    """
 
     def __init__(
         self,
         address: Address,
-        count: Callable[[str], None],
+        count_call: Callable[[str], None],
     ) -> None:
-        self._calls = PlatformCalls(address, count=count)
+        self._calls = PlatformCalls(address, count=count_call)
 
     async def async_read_configuration(
         self,
     ) -> Result[ConfigurationRead, PlatformDown]:
-        """Read the document in force."""
+        """Read the current configuration."""
         path = f'{PATH_OBJECTS}/{KIND_CONFIGURATION}/{NAME_CONFIGURATION}'
-        got = await self._async_get(path, {}, role='configuration')
-        if isinstance(got, Err):
-            return got
-        if got.ok_value.status == HTTPStatus.NOT_FOUND:
+        fetched = await self._async_get(path, {}, role='configuration')
+        if isinstance(fetched, Err):
+            return fetched
+        if fetched.ok_value.status == HTTPStatus.NOT_FOUND:
             return Ok(ConfigurationRead(0, None))
-        return _parsed(got.ok_value).map(_to_configuration)
+        return _parse_body(fetched.ok_value).map(_to_configuration)
 
     async def async_watch_configuration(
         self,
         since: int,
         wait_ms: int,
     ) -> Result[ConfigurationRead, PlatformDown | WatchGap]:
-        """Wait for a newer document."""
-        seen = await self._async_watch(KIND_CONFIGURATION, since, wait_ms)
-        if isinstance(seen, Err):
-            return seen
+        """Wait for a newer configuration.
+
+        :param since: the revision that the caller has.
+        :returns: a read without a document if none came within `wait_ms`.
+        """
+        watched = await self._async_watch(KIND_CONFIGURATION, since, wait_ms)
+        if isinstance(watched, Err):
+            return watched
         found = [
             event['object']
-            for event in seen.ok_value['events']
+            for event in watched.ok_value['events']
             if not event['removed']
-            and _name(event['object']) == NAME_CONFIGURATION
+            and _object_name(event['object']) == NAME_CONFIGURATION
         ]
         if not found:
             return Ok(ConfigurationRead(since, None))
@@ -94,7 +105,7 @@
     async def async_list_engines(
         self,
     ) -> Result[EnginesRead, PlatformDown]:
-        """Read all entries of engines."""
+        """Read the entries of all engines."""
         listed = await self._async_list(KIND_ENGINES)
         if isinstance(listed, Err):
             return listed
@@ -106,22 +117,22 @@
         since: int,
         wait_ms: int,
     ) -> Result[EnginesRead, PlatformDown | WatchGap]:
-        """Wait for entries of engines that change."""
-        seen = await self._async_watch(KIND_ENGINES, since, wait_ms)
-        if isinstance(seen, Err):
-            return seen
+        """Wait for changed or removed entries of engines."""
+        watched = await self._async_watch(KIND_ENGINES, since, wait_ms)
+        if isinstance(watched, Err):
+            return watched
         changes = [
-            EngineChange(_name(event['object']), None)
+            EngineChange(_object_name(event['object']), None)
             if event['removed']
             else _to_change(event['object'])
-            for event in seen.ok_value['events']
+            for event in watched.ok_value['events']
         ]
-        return Ok(EnginesRead(seen.ok_value['at'], tuple(changes)))
+        return Ok(EnginesRead(watched.ok_value['at'], tuple(changes)))
 
     async def async_list_instances(
         self,
     ) -> Result[tuple[InstanceStatus, ...], PlatformDown]:
-        """Read what instances have told of themselves."""
+        """Read the published statuses of all instances."""
         listed = await self._async_list(KIND_INSTANCES)
         if isinstance(listed, Err):
             return listed
@@ -132,22 +143,22 @@
         self,
         status: InstanceStatus,
     ) -> Result[None, PlatformDown]:
-        """Write the own status, over an earlier incarnation's if need be."""
+        """Write the own status and replace that of an earlier incarnation."""
         body = {
             'metadata': {'name': status.instance_id},
             'spec': json.loads(status.to_text()),
         }
         path = f'{PATH_OBJECTS}/{KIND_INSTANCES}'
-        made = await self._async_write('POST', path, body)
-        if isinstance(made, Err):
-            return made
-        if made.ok_value.status != HTTPStatus.CONFLICT:
-            return _written(made.ok_value)
+        created = await self._async_write('POST', path, body)
+        if isinstance(created, Err):
+            return created
+        if created.ok_value.status != HTTPStatus.CONFLICT:
+            return _check_written(created.ok_value)
         own_path = f'{path}/{quote(status.instance_id)}'
         replaced = await self._async_write('PUT', own_path, body)
         if isinstance(replaced, Err):
             return replaced
-        return _written(replaced.ok_value)
+        return _check_written(replaced.ok_value)
 
     async def async_withdraw(
         self,
@@ -155,37 +166,38 @@
     ) -> Result[None, PlatformDown]:
         """Delete the own status."""
         path = f'{PATH_OBJECTS}/{KIND_INSTANCES}/{quote(status.instance_id)}'
-        gone = await self._async_write('DELETE', path, None)
-        if isinstance(gone, Err):
-            return gone
-        return _written(gone.ok_value)
+        deleted = await self._async_write('DELETE', path, None)
+        if isinstance(deleted, Err):
+            return deleted
+        return _check_written(deleted.ok_value)
 
     async def _async_list(
         self,
         kind: str,
-    ) -> Result[_Listed, PlatformDown]:
-        """Read all pages; changes are watched from the first one's revision.
+    ) -> Result[_ObjectList, PlatformDown]:
+        """Read all pages of a list.
 
-        Pages are not one snapshot: what changed between two of them is seen
-        again by the watch.
+        The pages are not one snapshot. The returned revision is that of the
+        first page, so a watch from there also returns every change that was
+        made between two pages.
         """
         entries: list[Any] = []
         query: dict[str, str] = {}
         at = 0
         for _ in range(MAX_PAGES):
             path = f'{PATH_OBJECTS}/{kind}'
-            got = await self._async_get(path, query, role=kind)
-            if isinstance(got, Err):
-                return got
-            page = _parsed(got.ok_value)
+            fetched = await self._async_get(path, query, role=kind)
+            if isinstance(fetched, Err):
+                return fetched
+            page = _parse_body(fetched.ok_value)
             if isinstance(page, Err):
                 return page
             entries += page.ok_value['entries']
             at = at or page.ok_value['at']
             if not page.ok_value['has_more'] or not page.ok_value['entries']:
                 break
-            query = {'after': _name(entries[-1])}
-        return Ok(_Listed(at, entries))
+            query = {'after': _object_name(entries[-1])}
+        return Ok(_ObjectList(at, entries))
 
     async def _async_watch(
         self,
@@ -193,17 +205,17 @@
         since: int,
         wait_ms: int,
     ) -> Result[Any, PlatformDown | WatchGap]:
-        got = await self._async_get(
+        fetched = await self._async_get(
             f'{PATH_OBJECTS}/{kind}',
             {'watch': str(since), 'wait_ms': str(wait_ms)},
             role=f'watch {kind}',
             timeout_ms=wait_ms + WATCH_GRACE_MS,
         )
-        if isinstance(got, Err):
-            return got
-        if got.ok_value.status == HTTPStatus.GONE:
+        if isinstance(fetched, Err):
+            return fetched
+        if fetched.ok_value.status == HTTPStatus.GONE:
             return Err(WatchGap())
-        return _parsed(got.ok_value)
+        return _parse_body(fetched.ok_value)
 
     async def _async_get(
         self,
@@ -211,7 +223,7 @@
         query: dict[str, str],
         *,
         role: str,
-        timeout_ms: int = TIMEOUT_MS,
+        timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> Result[HttpResponse, PlatformDown]:
         request = HttpRequest('GET', path, urlencode(query), {}, b'')
         return await self._calls.async_call(
@@ -231,16 +243,19 @@
         return await self._calls.async_call(
             HttpRequest(method, path, '', headers, encoded),
             role=KIND_INSTANCES,
-            timeout_ms=TIMEOUT_MS,
+            timeout_ms=CALL_TIMEOUT_MS,
         )
 
 
 def open_store(
     address: Address,
-    count: Callable[[str], None],
+    count_call: Callable[[str], None],
 ) -> StoreAccess:
-    """Give the calls to a store; nothing is opened yet."""
-    store = _Store(address, count)
+    """Create the calls to a store. No connection is opened yet.
+
+    :param count_call: called with the role of each call.
+    """
+    store = _Store(address, count_call)
     return StoreAccess(
         read_configuration=store.async_read_configuration,
         watch_configuration=store.async_watch_configuration,
@@ -252,16 +267,16 @@
     )
 
 
-def _parsed(response: HttpResponse) -> Result[Any, PlatformDown]:
+def _parse_body(response: HttpResponse) -> Result[Any, PlatformDown]:
     if response.status != HTTPStatus.OK:
         return Err(PlatformDown(f'status {response.status}'))
     try:
         return Ok(json.loads(response.body))
     except ValueError as error:
-        return Err(PlatformDown(f'malformed answer: {error!r}'))
+        return Err(PlatformDown(f'malformed response: {error!r}'))
 
 
-def _written(response: HttpResponse) -> Result[None, PlatformDown]:
+def _check_written(response: HttpResponse) -> Result[None, PlatformDown]:
     if response.status >= HTTPStatus.MULTIPLE_CHOICES:
         return Err(PlatformDown(f'status {response.status}'))
     return Ok(None)
@@ -272,7 +287,7 @@
     return ConfigurationRead(stored['metadata']['revision'], spec)
 
 
-def _name(stored: Any) -> str:
+def _object_name(stored: Any) -> str:
     return str(stored['metadata']['name'])
 
 
@@ -285,8 +300,8 @@
 
 
 def _to_change(stored: Any) -> EngineChange:
-    name = _name(stored)
+    name = _object_name(stored)
     spec = stored.get('spec')
     if isinstance(spec, dict) and 'born' not in spec and 'born' in stored:
         spec = {**spec, 'born': stored['born']}
-    return EngineChange(name, to_engine(name, spec))
+    return EngineChange(name, parse_engine(name, spec))
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -3,7 +3,12 @@
 import pytest
 
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.platform.dialect import judge, read_ask, refusal, to_engine
+from hornbeamdeck.platform.dialect import (
+    classify_response,
+    engine_headers,
+    failure_response,
+    read_request,
+)
 from hornbeamdeck.request.outcome import NotRun, Unknown
 from hornbeamdeck.request.routed_ask import Dispatch, RoutedAsk, Verdict
 
@@ -25,7 +30,7 @@
 
 
 def _ask(**changes: str) -> RoutedAsk:
-    return read_ask(_request(**changes)).unwrap()
+    return read_request(_request(**changes)).unwrap()
 
 
 def test_a_request_is_decoded() -> None:
@@ -53,15 +58,15 @@
     """A request names a length and comes in chunks. Whoever reads the other of
     the two takes its tail for a second request, and runs what nobody asked.
     """
-    smuggled = read_ask(
+    smuggled = read_request(
         _request(content_length='3', transfer_encoding='chunked'),
     )
     assert smuggled.unwrap_err().code == 'two_lengths'
 
 
 def test_a_request_without_an_id_is_refused() -> None:
-    assert read_ask(_request(hornbeamdeck_request_id='')).is_err()
-    assert read_ask(_request(hornbeamdeck_request_id='a, b')).is_err()
+    assert read_request(_request(hornbeamdeck_request_id='')).is_err()
+    assert read_request(_request(hornbeamdeck_request_id='a, b')).is_err()
 
 
 def test_an_engine_gets_no_key_and_what_only_the_system_sets() -> None:
@@ -80,7 +85,7 @@
         x_private='1',
         last_event_id='3',
     )
-    headers = to_engine(ask, Dispatch('e1', 'guides', 900, '7'))
+    headers = engine_headers(ask, Dispatch('e1', 'guides', 900, '7'))
     assert headers == {
         'host': 'Walks.example:80',
         'hornbeamdeck-request-id': 'id-1',
@@ -126,14 +131,16 @@
     headers: dict[str, str],
     verdict: Verdict,
 ) -> None:
-    assert judge(_ask(), HttpResponse(status, headers, b'')) == verdict
+    assert (
+        classify_response(_ask(), HttpResponse(status, headers, b'')) == verdict
+    )
 
 
 def test_a_refusal_says_when_to_return_and_bears_no_seal() -> None:
-    answer = refusal(NotRun(503, 'overloaded', 'full', 1250), 'id-1')
+    answer = failure_response(NotRun(503, 'overloaded', 'full', 1250), 'id-1')
     assert answer.headers['retry-after'] == '1.250'
     assert 'hornbeamdeck-response-seal' not in answer.headers
 
 
 def test_what_may_have_run_is_never_called_refused() -> None:
-    assert refusal(Unknown(502, 'x', 'y', 5), 'id-1').status == 502
+    assert failure_response(Unknown(502, 'x', 'y', 5), 'id-1').status == 502
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hornbeamdeck.platform.documents import parse_configuration, to_engine
+from hornbeamdeck.platform.documents import parse_configuration, parse_engine
 from hornbeamdeck.version.routed import Route, RoutedConfiguration
 from tests.platform.standins import document, route
 
@@ -84,7 +84,7 @@
 
 
 def test_an_entry_becomes_an_engine() -> None:
-    engine = to_engine('e1', ENTRY)
+    engine = parse_engine('e1', ENTRY)
     assert engine is not None
     assert str(engine.address) == '10.0.0.1:80'
     assert engine.born_ms == 12
@@ -111,4 +111,4 @@
     ],
 )
 def test_odd_entries_name_no_engine(spec: Any) -> None:
-    assert to_engine('e1', spec) is None
+    assert parse_engine('e1', spec) is None
