--- a/hornbeamdeck/explain/__init__.py
+++ b/hornbeamdeck/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Explains from log lines what became of requests, and why."""
+"""Determines the outcome and cause of requests from log lines."""
 
 from hornbeamdeck.explain.lines import LogLines, read_lines
 from hornbeamdeck.explain.outcomes import Explained, explain_all
--- a/hornbeamdeck/explain/lines.py
+++ b/hornbeamdeck/explain/lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines as collectors keep them, damaged ones included."""
+"""Parses log lines as collectors store them, including damaged ones."""
 
 import datetime
 import json
@@ -18,13 +18,16 @@
 
 
 class LogLines(NamedTuple):
-    """What was read.
+    """The parsed lines of a log.
 
     :param by_request: the lines of each request, in the order of the file.
-    :param lines: how many lines could be read.
-    :param damaged: how many could not: cut, garbled, or no object.
-    :param first_s: Unix seconds of the first line; 0: none has a time.
-    :param zones: availability zone by instance ID, as logged at its start.
+    :param lines: number of valid lines.
+    :param damaged: number of invalid lines: truncated, garbled, or not a JSON
+        object with an event.
+    :param first_s: Unix seconds of the first line with a readable timestamp; 0
+        if no line has one.
+    :param zones: availability zone by instance ID, as each instance logged it
+        at its start.
     """
 
     by_request: dict[str, list[LogLine]]
@@ -35,10 +38,10 @@
 
 
 def read_lines(raw: Iterable[str]) -> LogLines:
-    """Read lines of JSON; what a collector wrote before each is passed over.
+    """Parse lines of JSON and ignore any prefix that a collector added.
 
-    A process that is killed leaves half a line. One such line must not keep
-    whoever is on call from reading the others, so it is counted.
+    A process that is killed can leave a truncated line. Damaged lines are
+    counted and skipped, so that operators can still read the others.
     """
     by_request: dict[str, list[LogLine]] = defaultdict(list)
     zones: dict[str, str] = {}
@@ -53,15 +56,18 @@
             damaged += 1
             continue
         lines += 1
-        first_s = first_s or second_of(line)
+        first_s = first_s or unix_seconds(line)
         _record_zone(line, zones)
         if line.get(REQUEST_ID):
             by_request[str(line[REQUEST_ID])].append(line)
     return LogLines(dict(by_request), lines, damaged, first_s, zones)
 
 
-def second_of(line: LogLine) -> float:
-    """Tell the Unix seconds of a line; 0 where it has no readable time."""
+def unix_seconds(line: LogLine) -> float:
+    """Return the Unix seconds of a line.
+
+    :returns: 0 if the line has no readable timestamp.
+    """
     try:
         written = datetime.datetime.fromisoformat(str(line.get(TIMESTAMP)))
     except ValueError:
--- a/hornbeamdeck/explain/outcomes.py
+++ b/hornbeamdeck/explain/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each request, and the cause that its log lines name."""
+"""Derives the outcome and cause of each request from its log lines."""
 
 import enum
 from collections.abc import Iterable, Iterator
@@ -8,24 +8,26 @@
     INSTANCE_ID,
     LogLine,
     LogLines,
-    second_of,
+    unix_seconds,
 )
 
 __all__ = ('Explained', 'Outcome', 'explain_all')
 
 ANSWERED: Final = 'request: request answered'
 FAILED: Final = 'request: request failed'
-LEFT: Final = 'request: caller left'
-AT_THE_EDGE: Final = 'edge: request refused at the edge'
+CALLER_LEFT: Final = 'request: caller left'
+REFUSED_AT_EDGE: Final = 'edge: request refused at the edge'
 REFUSED: Final = 'scheduler: request refused'
-HELD: Final = 'scheduler: request was held back'
-TRY_ENDED: Final = 'request: try ended'
-_LAST: Final = frozenset((ANSWERED, FAILED, LEFT, AT_THE_EDGE))
-# Codes of failures after which an engine may have run the request.
-TIME_RAN_OUT: Final = 'deadline_passed'
-_BROKEN: Final = frozenset(('engine_broken', TIME_RAN_OUT))
-# Numbers of a refusal that it was decided on.
-_INPUTS: Final = (
+HELD_BACK: Final = 'scheduler: request was held back'
+ATTEMPT_ENDED: Final = 'request: try ended'
+_FINAL_EVENTS: Final = frozenset(
+    (ANSWERED, FAILED, CALLER_LEFT, REFUSED_AT_EDGE)
+)
+DEADLINE_PASSED: Final = 'deadline_passed'
+# Failure codes after which an engine may have run the request.
+_BROKEN_CODES: Final = frozenset(('engine_broken', DEADLINE_PASSED))
+# Numeric log fields on which a refusal was decided.
+_REFUSAL_FIELDS: Final = (
     'waiting',
     'places',
     'engines',
@@ -34,27 +36,29 @@
     'retry_after_ms',
     'proof_age_ms',
 )
-_LATE_INPUTS: Final = ('waited_ms', 'first_ms', 'longest_gap_ms', 'begun_ms')
+# Numeric log fields that show where a request spent its time.
+_TIMING_FIELDS: Final = ('waited_ms', 'first_ms', 'longest_gap_ms', 'begun_ms')
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request, as its caller saw it."""
+    """The outcome of a request, as its caller saw it."""
 
     ON_TIME = 'on time'
     LATE = 'late'
     REFUSED = 'refused'
     BROKEN = 'broken'
-    LEFT = 'caller left'
+    CALLER_LEFT = 'caller left'
 
 
 class Explained(NamedTuple):
-    """One request explained.
+    """The outcome of one request and its cause.
 
-    :param cause: in a few words, the same for all of one cause.
-    :param instance: ID of the instance that logged its last line.
+    :param cause: short text that is equal for all requests with this cause;
+        empty if the request was on time.
+    :param instance: ID of the instance that logged the final line.
     :param zone: availability zone of that instance; empty if not logged.
-    :param second: since the first line of the log.
-    :param inputs: numbers that it was decided on, by their names in the log.
+    :param second: seconds from the first line of the log to the final line.
+    :param inputs: the numbers behind the outcome, by log field.
     """
 
     request_id: str
@@ -71,9 +75,9 @@
 
 
 def explain_all(logs: LogLines) -> Iterator[Explained]:
-    """Explain each request that has its last line in the log."""
+    """Explain each request whose final line is in the log."""
     for request_id, lines in logs.by_request.items():
-        last = _last_of(lines, _LAST)
+        last = _last_with_event(lines, _FINAL_EVENTS)
         if last is not None:
             yield _explain(request_id, last, lines, logs)
 
@@ -84,7 +88,7 @@
     lines: list[LogLine],
     logs: LogLines,
 ) -> Explained:
-    outcome, cause, inputs = _judge(last, lines)
+    outcome, cause, inputs = _classify(last, lines)
     instance = str(last.get(INSTANCE_ID, ''))
     return Explained(
         request_id=request_id,
@@ -96,83 +100,92 @@
         engine=str(last.get('engine', '')),
         instance=instance,
         zone=logs.zones.get(instance, ''),
-        second=int(max(second_of(last) - logs.first_s, 0)),
+        second=int(max(unix_seconds(last) - logs.first_s, 0)),
         inputs=inputs,
     )
 
 
-def _judge(
+def _classify(
     last: LogLine,
     lines: list[LogLine],
 ) -> tuple[Outcome, str, dict[str, float]]:
-    """Tell outcome, cause and what decided it, from a request's last line."""
+    """Determine a request's outcome, its cause and the numbers behind it.
+
+    :param last: the final line of the request.
+    :param lines: all lines of the request.
+    """
     event = last['event']
     if event == ANSWERED:
-        late = _why_late(last, lines)
+        late = _late_cause(last, lines)
         outcome = Outcome.LATE if late else Outcome.ON_TIME
-        return (outcome, late, _numbers(last, _LATE_INPUTS))
-    if event == LEFT:
-        where = 'after its first byte' if _begun(last) else 'while waiting'
-        return (Outcome.LEFT, where, _numbers(last, _LATE_INPUTS))
-    if event == AT_THE_EDGE:
+        return (outcome, late, _numbers(last, _TIMING_FIELDS))
+    if event == CALLER_LEFT:
+        cause = 'after its first byte' if _begun_ms(last) else 'while waiting'
+        return (Outcome.CALLER_LEFT, cause, _numbers(last, _TIMING_FIELDS))
+    if event == REFUSED_AT_EDGE:
         code = str(last.get('code'))
-        return (Outcome.REFUSED, code, _numbers(last, _INPUTS))
-    return _why_failed(last, lines)
+        return (Outcome.REFUSED, code, _numbers(last, _REFUSAL_FIELDS))
+    return _classify_failure(last, lines)
 
 
-def _why_late(last: LogLine, lines: list[LogLine]) -> str:
-    """Name what made an answer late; empty where it was on time."""
+def _late_cause(last: LogLine, lines: list[LogLine]) -> str:
+    """Return the cause of a late response.
+
+    :returns: an empty text if the response was on time.
+    """
     objective_ms = _number(last, 'objective_ms')
-    if objective_ms and _begun(last) > objective_ms:
-        return _why_begun_late(last, lines)
+    if objective_ms and _begun_ms(last) > objective_ms:
+        return _late_start_cause(last, lines)
     gap_ms = _number(last, 'gap_ms')
     if gap_ms and _number(last, 'longest_gap_ms') > gap_ms:
         return 'a pause between events'
     return ''
 
 
-def _why_begun_late(last: LogLine, lines: list[LogLine]) -> str:
-    if _last_of(lines, {TRY_ENDED}) is not None:
+def _late_start_cause(last: LogLine, lines: list[LogLine]) -> str:
+    if _last_with_event(lines, {ATTEMPT_ENDED}) is not None:
         return 'another engine had failed before'
     if _number(last, 'waited_ms') < _number(last, 'first_ms'):
         return 'its engine took long to the first byte'
-    held = _last_of(lines, {HELD})
-    if held is not None:
-        return f'held back: {held.get("held_for")}'
+    held_back = _last_with_event(lines, {HELD_BACK})
+    if held_back is not None:
+        return f'held back: {held_back.get("held_for")}'
     return 'waited for a place'
 
 
-def _why_failed(
+def _classify_failure(
     last: LogLine,
     lines: list[LogLine],
 ) -> tuple[Outcome, str, dict[str, float]]:
     code = str(last.get('code'))
-    refusal = _last_of(lines, {REFUSED})
-    tried = _last_of(lines, {TRY_ENDED})
-    if code in _BROKEN and tried is not None:
-        cause = f'{code}: {tried.get("end")}'
-        return (Outcome.BROKEN, cause, _numbers(last, _LATE_INPUTS))
-    if code == TIME_RAN_OUT and last.get('engine'):
-        # It had been sent, and its engine said nothing to the end.
+    refusal = _last_with_event(lines, {REFUSED})
+    attempt_ended = _last_with_event(lines, {ATTEMPT_ENDED})
+    if code in _BROKEN_CODES and attempt_ended is not None:
+        cause = f'{code}: {attempt_ended.get("end")}'
+        return (Outcome.BROKEN, cause, _numbers(last, _TIMING_FIELDS))
+    if code == DEADLINE_PASSED and last.get('engine'):
+        # The request was sent, but its engine sent no response in time.
         cause = f'{code}: no answer'
-        return (Outcome.BROKEN, cause, _numbers(last, _LATE_INPUTS))
+        return (Outcome.BROKEN, cause, _numbers(last, _TIMING_FIELDS))
     if refusal is None:
-        return (Outcome.REFUSED, code, _numbers(last, _LATE_INPUTS))
+        return (Outcome.REFUSED, code, _numbers(last, _TIMING_FIELDS))
     cause = str(refusal.get('reason'))
     if refusal.get('held_for'):
         cause = f'{cause}, held back: {refusal["held_for"]}'
     elif _number(refusal, 'places'):
         cause = f'{cause} with places free'
-    return (Outcome.REFUSED, cause, _numbers(refusal, _INPUTS))
+    return (Outcome.REFUSED, cause, _numbers(refusal, _REFUSAL_FIELDS))
 
 
-def _last_of(lines: list[LogLine], events: Iterable[str]) -> LogLine | None:
+def _last_with_event(
+    lines: list[LogLine], events: Iterable[str]
+) -> LogLine | None:
     wanted = frozenset(events)
     found = [line for line in lines if line['event'] in wanted]
     return found[-1] if found else None
 
 
-def _begun(line: LogLine) -> float:
+def _begun_ms(line: LogLine) -> float:
     return _number(line, 'begun_ms')
 
 
--- a/hornbeamdeck/explain/report.py
+++ b/hornbeamdeck/explain/report.py
@@ -1,4 +1,4 @@
-"""Counts explained requests by cause, and by what they have in common."""
+"""Counts explained requests by cause and by shared properties."""
 
 import statistics
 from collections import Counter, defaultdict
@@ -10,7 +10,7 @@
 
 __all__ = ('Report', 'describe_way', 'make_report')
 
-# What requests are counted by, besides their cause.
+# Fields of `Explained` by which the requests of one cause are counted.
 _DIMENSIONS: Final = (
     'kind',
     'route',
@@ -20,9 +20,9 @@
     'zone',
     'second',
 )
-# Rows of one table in the text; the JSON has all.
-SHOWN_ROWS: Final = 12
-_NOT_SHOWN: Final = frozenset(
+# Limit of values in one row of the text report. The JSON lists all.
+MAX_ROW_VALUES: Final = 12
+_HIDDEN_FIELDS: Final = frozenset(
     ('event', 'request_id', 'level', 'timestamp', 'instance_id'),
 )
 
@@ -30,8 +30,8 @@
 class Cause(NamedTuple):
     """One cause of one outcome.
 
-    :param decided_on: medians of the numbers that it was decided on.
-    :param by: request counts per value of each of `_DIMENSIONS`.
+    :param decided_on: medians of the numbers behind the outcome, by log field.
+    :param by: request counts per value, for each of `_DIMENSIONS`.
     """
 
     outcome: str
@@ -42,7 +42,7 @@
 
 
 class Report(NamedTuple):
-    """What a log tells, as a whole."""
+    """Summary of all requests in a log."""
 
     lines: int
     damaged: int
@@ -50,12 +50,12 @@
     causes: list[Cause]
 
     def to_dict(self) -> dict[str, Any]:
-        """Give all of it as plain values, for JSON."""
+        """Return the report as plain values for JSON."""
         causes = [cause._asdict() for cause in self.causes]
         return {**self._asdict(), 'causes': causes}
 
     def to_text(self) -> Iterator[str]:
-        """Write it for reading, the largest cause first."""
+        """Return the lines of the text report, most frequent cause first."""
         yield f'{self.lines} lines read, {self.damaged} damaged'
         for outcome, count in self.outcomes.items():
             yield f'{count:6} {outcome}'
@@ -69,7 +69,7 @@
 
 
 def make_report(logs: LogLines, explained: Iterable[Explained]) -> Report:
-    """Count what was explained; what ended on time has no cause."""
+    """Count explained requests. Those that were on time have no cause."""
     outcomes: Counter[str] = Counter()
     groups: dict[tuple[str, str], list[Explained]] = defaultdict(list)
     for each in explained:
@@ -86,16 +86,16 @@
 
 
 def describe_way(lines: list[LogLine]) -> Iterator[str]:
-    """Write one request's way, a line for each decision."""
+    """Return one text line per log line of a request, ordered by time."""
     ordered = sorted(lines, key=lambda line: str(line.get('timestamp')))
     for line in ordered:
-        facts = ' '.join(
+        fields = ' '.join(
             f'{name}={text}'
             for name, text in line.items()
-            if name not in _NOT_SHOWN
+            if name not in _HIDDEN_FIELDS
         )
         where = line.get('instance_id', '')
-        yield f'{line.get("timestamp", "")} {where} {line["event"]}: {facts}'
+        yield f'{line.get("timestamp", "")} {where} {line["event"]}: {fields}'
 
 
 def _to_cause(outcome: str, cause: str, members: list[Explained]) -> Cause:
@@ -109,12 +109,12 @@
 
 
 def _medians(members: list[Explained]) -> dict[str, float]:
-    known: dict[str, list[float]] = defaultdict(list)
+    numbers: dict[str, list[float]] = defaultdict(list)
     for each in members:
         for name, number in each.inputs.items():
-            known[name].append(number)
-    medians = map(statistics.median, known.values())
-    return dict(zip(known, medians, strict=True))
+            numbers[name].append(number)
+    medians = map(statistics.median, numbers.values())
+    return dict(zip(numbers, medians, strict=True))
 
 
 def _count(members: list[Explained], name: str) -> dict[str, int]:
@@ -123,7 +123,7 @@
 
 
 def _row(counts: dict[str, float] | dict[str, int]) -> str:
-    shown = list(counts.items())[:SHOWN_ROWS]
+    shown = list(counts.items())[:MAX_ROW_VALUES]
     row = ', '.join(f'{name} {number:g}' for name, number in shown)
     hidden = len(counts) - len(shown)
     return f'{row}, {hidden} more' if hidden else row
