--- a/tests/explain/__init__.py
+++ b/tests/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what log lines are taken to tell."""
+"""Tests of the explanation of requests from log lines."""
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""Causes read from log lines."""
+"""Tests of causes and reports derived from log lines."""
 
 import json
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 def _answered(**fields: Any) -> str:
-    usual = {
+    defaults = {
         'kind': 'streaming',
         'route': 'notes',
         'team': 'guides',
@@ -43,16 +43,16 @@
         'first_ms': 100,
         'longest_gap_ms': 20,
     }
-    return _line(ANSWERED, **{**usual, **fields})
+    return _line(ANSWERED, **{**defaults, **fields})
 
 
-def _only(*lines: str) -> tuple[str, str]:
+def _explain_single(*lines: str) -> tuple[str, str]:
     explained = list(explain_all(read_lines(lines)))
     assert len(explained) == 1
     return (explained[0].outcome, explained[0].cause)
 
 
-def _held(reason: str) -> str:
+def _held_back(reason: str) -> str:
     return _line('scheduler: request was held back', held_for=reason)
 
 
@@ -71,7 +71,7 @@
         ),
         (
             [
-                _held('it would break streams'),
+                _held_back('it would break streams'),
                 _answered(begun_ms=700, waited_ms=600),
             ],
             'late',
@@ -132,24 +132,32 @@
         ([_line('request: caller left')], 'caller left', 'while waiting'),
     ],
 )
-def test_a_cause_is_named(lines: list[str], outcome: str, cause: str) -> None:
-    assert _only(*lines) == (outcome, cause)
+def test_cause_is_determined(
+    lines: list[str], outcome: str, cause: str
+) -> None:
+    assert _explain_single(*lines) == (outcome, cause)
+
 
+def test_damaged_lines_are_counted() -> None:
+    """Guards against losing a log over a truncated or mixed line.
 
-def test_lines_that_are_cut_or_no_json_are_counted() -> None:
-    """A process is killed in the middle of a line, and two write into one."""
-    whole = _answered()
-    read = read_lines([whole[:40], '{"event": 3}', 'text', f'12.3 f-1 {whole}'])
+    A process is killed while it writes a line, or two processes write into one
+    line.
+    """
+    valid = _answered()
+    read = read_lines([valid[:40], '{"event": 3}', 'text', f'12.3 f-1 {valid}'])
     assert read.damaged == 2
     assert read.lines == 1
     assert list(read.by_request) == ['r1']
 
 
-def test_a_request_without_its_last_line_is_not_explained() -> None:
-    assert not list(explain_all(read_lines([_held('it would be late there')])))
+def test_request_without_final_line_is_not_explained() -> None:
+    assert not list(
+        explain_all(read_lines([_held_back('it would be late there')]))
+    )
 
 
-def test_a_report_counts_by_what_requests_have_in_common() -> None:
+def test_report_counts_by_shared_properties() -> None:
     lines = [
         _refused(places=0, waiting=20),
         _line(FAILED, code='overloaded', route='notes', second=2),
@@ -173,14 +181,14 @@
     assert 'refused: overloaded' in text
 
 
-def test_the_way_of_a_request_is_told_in_order_of_time() -> None:
+def test_described_lines_are_ordered_by_time() -> None:
     lines = [_answered(second=3), _line('request: try ended', second=1)]
-    way = list(describe_way(read_lines(lines).by_request['r1']))
-    assert 'try ended' in way[0]
-    assert 'request answered' in way[1]
+    described = list(describe_way(read_lines(lines).by_request['r1']))
+    assert 'try ended' in described[0]
+    assert 'request answered' in described[1]
 
 
-def test_the_command_prints_json_alone(
+def test_command_prints_only_json(
     tmp_path: Any,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -190,7 +198,7 @@
     assert json.loads(capsys.readouterr().out)['outcomes'] == {'on time': 1}
 
 
-def test_the_command_says_when_it_finds_nothing(tmp_path: Any) -> None:
+def test_command_exits_when_nothing_is_found(tmp_path: Any) -> None:
     log = tmp_path / 'fleet.log'
     log.write_text('')
     with pytest.raises(SystemExit):
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform adapter, against stand-ins of its store and engines."""
+"""Tests of the platform adapter with stand-ins for store and engines."""
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Fronts, a store and engines in one process, for tests of the whole path."""
+"""Gateways, a store and engines in one process, for end-to-end tests."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -16,7 +16,7 @@
 
 WAIT_STEP_S = 0.02
 WAIT_STEPS = 500
-TOKENS = '100,20'
+TOKEN_COUNTS = '100,20'
 Scenario = Callable[['PlatformFleet'], Awaitable[None]]
 
 
@@ -25,16 +25,20 @@
     number: int = 0,
     **changes: Any,
 ) -> FrontSettings:
-    """Make settings on addresses of the system's choice."""
-    anywhere = '127.0.0.1:0'
+    """Make gateway settings with ports chosen by the operating system.
+
+    :param number: distinguishes the instance IDs of a fleet.
+    :param changes: settings that replace the defaults.
+    """
+    any_port = '127.0.0.1:0'
     return FrontSettings.from_config(
         {
             'instance_id': f'front-{number}',
             'availability_zone': 'z1',
-            'address': anywhere,
-            'ready_address': anywhere,
-            'entries_address': anywhere,
-            'peer_address': anywhere,
+            'address': any_port,
+            'ready_address': any_port,
+            'entries_address': any_port,
+            'peer_address': any_port,
             'platform_address': str(store),
             'seed_peers': [],
             'fleet_secret': 'a-secret-for-the-tests',
@@ -60,20 +64,23 @@
 
 
 class PlatformFleet:
-    """What a scenario works with."""
+    """The store, engines and gateways that a scenario uses."""
 
     def __init__(self) -> None:
         self.store = StoreStandin()
         self.store_address = Address('127.0.0.1', 0)
-        self.desks = [EngineStandin('desk-1'), EngineStandin('desk-2')]
-        self.counters = [EngineStandin('counter-1'), EngineStandin('counter-2')]
+        self.model_engines = [EngineStandin('desk-1'), EngineStandin('desk-2')]
+        self.booking_engines = [
+            EngineStandin('counter-1'),
+            EngineStandin('counter-2'),
+        ]
         self.fronts: list[Front] = []
 
     async def async_start(self, count: int) -> None:
-        """Start store, engines and fronts; wait until all are ready."""
+        """Start store, engines and gateways, and wait until all are ready."""
         self.store_address = await self.store.async_start()
         await self.store.async_put('config', 'main', document())
-        for engine in self.desks + self.counters:
+        for engine in self.model_engines + self.booking_engines:
             await engine.async_start()
             service = engine.name.partition('-')[0]
             entry = engine.entry(service)
@@ -97,9 +104,10 @@
         store: Address | None = None,
         seeds: tuple[str, ...] = (),
     ) -> Front:
-        """Start one more front.
+        """Start one more gateway.
 
-        :param store: another than that of the fleet.
+        :param store: a store to use instead of the fleet's.
+        :param seeds: peer addresses of running gateways.
         """
         settings = front_settings(
             store or self.store_address,
@@ -112,17 +120,20 @@
         return front
 
     async def async_stop(self) -> None:
-        """Take all fronts down."""
+        """Kill all gateways."""
         for front in self.fronts:
             await front.async_kill()
 
-    async def async_until(self, is_so: Callable[[], bool]) -> None:
-        """Wait for a condition; what never comes fails the test."""
+    async def async_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition.
+
+        :raises AssertionError: if it isn't met within the wait time.
+        """
         for _ in range(WAIT_STEPS):
-            if is_so():
+            if condition():
                 return
             await sleep(WAIT_STEP_S)
-        raise AssertionError('what was waited for never came')
+        raise AssertionError('the condition was not met in time')
 
     async def async_call(
         self,
@@ -132,14 +143,17 @@
         tokens: str = '',
         **headers: str,
     ) -> HttpResponse:
-        """Call a front as a client does."""
+        """Send a request to a gateway as a client does.
+
+        :param front: index of the gateway in `fronts`.
+        """
         return await async_fetch(
             self.fronts[front].parts.membership.own.address,
-            request_to(path, tokens=tokens, **headers),
+            make_request(path, tokens=tokens, **headers),
         )
 
     async def async_open(self, front: int = 0) -> ClientConnection:
-        """Open a client's connection."""
+        """Open a client connection to a gateway."""
         opened = await ClientConnection.async_open(
             self.fronts[front].parts.membership.own.address,
             timeout_ms=2000,
@@ -147,13 +161,18 @@
         return opened.unwrap()
 
 
-def request_to(
+def make_request(
     path: str,
     *,
     tokens: str = '',
     **headers: str,
 ) -> HttpRequest:
-    """Write a request as a client does; `_` stands for `-` in names."""
+    """Make a request as a client does.
+
+    :param tokens: prompt tokens and maximum response tokens; empty for a
+        request without a model.
+    :param headers: names are written with `_` instead of `-`.
+    """
     counts = {'hornbeamdeck-token-counts': tokens} if tokens else {}
     named = {name.replace('_', '-'): text for name, text in headers.items()}
     return HttpRequest(
@@ -173,7 +192,10 @@
 
 
 def on_platform(count: int = 1) -> Callable[[Scenario], Callable[[], None]]:
-    """Run a scenario on a fleet of its own."""
+    """Run a scenario with a new fleet.
+
+    :param count: number of gateways.
+    """
 
     def _decorate(scenario: Scenario) -> Callable[[], None]:
         async def _async_run() -> None:
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' store and engines, by their published protocol."""
+"""Stand-ins for the users' store and engines, with their HTTP protocols."""
 
 import json
 from collections.abc import Awaitable, Callable, Mapping
@@ -15,90 +15,93 @@
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
 from hornbeamdeck.connection.server import ServerConnection
 
-ANYWHERE = Address('127.0.0.1', 0)
+ANY_LOCAL_PORT = Address('127.0.0.1', 0)
 OBJECTS_PATH = '/v1/objects/'
-SEAL = 'hornbeamdeck-response-seal'
-ECHO = 'hornbeamdeck-request-id'
+SEAL_HEADER = 'hornbeamdeck-response-seal'
+REQUEST_ID_HEADER = 'hornbeamdeck-request-id'
 
-Answer = Callable[[HttpRequest, ServerConnection], Awaitable[None]]
+RequestHandler = Callable[[HttpRequest, ServerConnection], Awaitable[None]]
 
 
-def _refuse(bad: BadRequest) -> HttpResponse:
+def _bad_request_response(bad: BadRequest) -> HttpResponse:
     return HttpResponse(bad.status, {}, b'')
 
 
-def _json(status: int, body: Any) -> HttpResponse:
+def _json_response(status: int, body: Any) -> HttpResponse:
     headers = {'content-type': 'application/json'}
     return HttpResponse(status, headers, json.dumps(body).encode())
 
 
-def _query(request: HttpRequest) -> dict[str, str]:
+def _query_parameters(request: HttpRequest) -> dict[str, str]:
     pairs = (each.partition('=') for each in request.query.split('&') if each)
     return {name: text for name, _, text in pairs}
 
 
-async def async_listen(answer: Answer) -> Listener:
-    """Serve HTTP on an address of the system's choice."""
+async def async_listen(respond: RequestHandler) -> Listener:
+    """Serve HTTP on a port chosen by the operating system."""
 
     async def _async_serve(sock: socket.socket) -> None:
-        await async_serve_requests(sock, answer, _refuse)
+        await async_serve_requests(sock, respond, _bad_request_response)
 
-    return await async_setup_listener(ANYWHERE, _async_serve)
+    return await async_setup_listener(ANY_LOCAL_PORT, _async_serve)
 
 
 class Removed(NamedTuple):
-    """An object that is gone, and when it went."""
+    """A removed object.
+
+    :param revision: the store's revision after the removal.
+    """
 
     revision: int
     kind: str
-    gone: dict[str, Any]
+    stored_object: dict[str, Any]
 
 
 class StoreStandin:
-    """Objects by kind and name, one revision counter, watches.
+    """A store of objects by kind and name, with watches by revision.
 
-    `stored` holds them; `refusals` holds statuses for the next calls; while
-    `is_silent` no call is answered; `history_from` is the oldest revision that
-    can be watched from.
+    `next_statuses` are the error statuses of the next calls, one for each.
+    While `is_silent` is set, calls get no response. A watch from a revision
+    before `oldest_revision` is rejected with status 410.
     """
 
     def __init__(self) -> None:
-        self.stored: dict[str, dict[str, Any]] = {}
+        self.stored_objects: dict[str, dict[str, Any]] = {}
         self.removed: list[Removed] = []
         self.revision = 10
-        self.refusals: list[int] = []
+        self.next_statuses: list[int] = []
         self.is_silent = False
-        self.history_from = 0
+        self.oldest_revision = 0
         self.calls = 0
         self._changed = Event()
 
     async def async_start(self) -> Address:
-        """Listen."""
-        return (await async_listen(self._async_answer)).address
+        """Start to serve requests."""
+        return (await async_listen(self._async_handle)).address
 
     async def async_put(self, kind: str, name: str, spec: Any) -> int:
-        """Write as an operator or an engine does."""
+        """Write an object as an operator or an engine does."""
         self.revision += 1
-        made = self.stored.setdefault(kind, {})
-        made[name] = {
+        objects_of_kind = self.stored_objects.setdefault(kind, {})
+        objects_of_kind[name] = {
             'metadata': {'name': name, 'revision': self.revision},
             'spec': spec,
         }
-        await self._async_note_change()
+        await self._async_signal_change()
         return self.revision
 
     async def async_remove(self, kind: str, name: str) -> None:
-        """Remove as a lapsed lease does."""
+        """Remove an object as the store does when its lease expires."""
         self.revision += 1
-        gone = self.stored[kind].pop(name)
-        self.removed.append(Removed(self.revision, kind, gone))
-        await self._async_note_change()
+        stored_object = self.stored_objects[kind].pop(name)
+        self.removed.append(Removed(self.revision, kind, stored_object))
+        await self._async_signal_change()
 
-    async def _async_note_change(self) -> None:
+    async def _async_signal_change(self) -> None:
         await self._changed.set()
         self._changed = Event()
 
-    async def _async_answer(
+    async def _async_handle(
         self,
         request: HttpRequest,
         caller: ServerConnection,
@@ -106,17 +109,19 @@
         self.calls += 1
         if self.is_silent:
             await sleep(3600)
-        if self.refusals:
-            status = self.refusals.pop(0)
+        if self.next_statuses:
+            status = self.next_statuses.pop(0)
             await caller.async_respond(HttpResponse(status, {}, b''))
             return
         kind, _, name = request.path.removeprefix(OBJECTS_PATH).partition('/')
         match request.method:
             case 'GET' if name:
-                found = self.stored.get(kind, {}).get(name)
-                response = _json(200 if found else 404, found)
+                found = self.stored_objects.get(kind, {}).get(name)
+                response = _json_response(200 if found else 404, found)
             case 'GET' if 'watch' in request.query:
-                response = await self._async_watch(kind, _query(request))
+                response = await self._async_watch(
+                    kind, _query_parameters(request)
+                )
             case 'GET':
                 response = self._list(kind)
             case _:
@@ -124,9 +129,9 @@
         await caller.async_respond(response)
 
     def _list(self, kind: str) -> HttpResponse:
-        entries = list(self.stored.get(kind, {}).values())
+        entries = list(self.stored_objects.get(kind, {}).values())
         page = {'entries': entries, 'has_more': False, 'at': self.revision}
-        return _json(200, page)
+        return _json_response(200, page)
 
     async def _async_watch(
         self,
@@ -134,8 +139,8 @@
         query: Mapping[str, str],
     ) -> HttpResponse:
         since = int(query['watch'])
-        if since < self.history_from:
-            return _json(410, {})
+        if since < self.oldest_revision:
+            return _json_response(410, {})
         if not self._events(kind, since):
             with suppress(TaskTimeout):
                 await timeout_after(
@@ -143,20 +148,20 @@
                     self._changed.wait(),
                 )
         events = self._events(kind, since)
-        return _json(200, {'events': events, 'at': self.revision})
+        return _json_response(200, {'events': events, 'at': self.revision})
 
     def _events(self, kind: str, since: int) -> list[Any]:
         changed = [
             {'object': each, 'removed': False}
-            for each in self.stored.get(kind, {}).values()
+            for each in self.stored_objects.get(kind, {}).values()
             if each['metadata']['revision'] > since
         ]
-        gone = [
+        removed = [
             {'object': each, 'removed': True}
             for revision, of_kind, each in self.removed
             if of_kind == kind and revision > since
         ]
-        return changed + gone
+        return changed + removed
 
     async def _async_write(
         self,
@@ -166,59 +171,64 @@
     ) -> HttpResponse:
         if request.method == 'DELETE':
             await self.async_remove(kind, name)
-            return _json(200, {})
+            return _json_response(200, {})
         body = json.loads(request.body)
-        named = name or body['metadata']['name']
-        if request.method == 'POST' and named in self.stored.get(kind, {}):
-            return _json(409, self.stored[kind][named])
-        await self.async_put(kind, named, body['spec'])
-        return _json(200, self.stored[kind][named])
+        object_name = name or body['metadata']['name']
+        if request.method == 'POST' and object_name in self.stored_objects.get(
+            kind, {}
+        ):
+            return _json_response(409, self.stored_objects[kind][object_name])
+        await self.async_put(kind, object_name, body['spec'])
+        return _json_response(200, self.stored_objects[kind][object_name])
 
 
 class EngineStandin:
-    """Runs requests that expect it, and shows the faults it is told to.
+    """An engine that runs requests addressed to it, with optional faults.
 
-    `faults` holds one for each coming request: `not_run`, `reset`, `cut`
-    (in the middle of an event), `other_id`, `error`, `bare` (no seal),
-    `silent`; an empty one answers well. With `keep_alive_s` it says so long it
-    keeps connections, which it counts; `extra` is sent after each answer.
+    `faults` has one entry for each of the next requests: `not_run`, `reset`,
+    `cut` (the stream breaks within an event), `other_id`, `error`, `no_seal`,
+    `silent`, or an empty text for a correct response. `keep_alive_s` is the
+    idle time of connections that responses announce, if not 0. `extra_bytes`
+    are sent after each response.
     """
 
     def __init__(self, name: str, *, events: int = 3) -> None:
         self.name = name
         self.events = events
         self.faults: list[str] = []
-        self.ran: list[HttpRequest] = []
-        self.cut_off = 0
-        self.address = ANYWHERE
-        self.event_pause_s = 0.0
+        self.executed: list[HttpRequest] = []
+        self.cancelled_runs = 0
+        self.address = ANY_LOCAL_PORT
+        self.event_gap_s = 0.0
         self.keep_alive_s = 0
-        self.extra = b''
+        self.extra_bytes = b''
         self._sockets: list[socket.socket] = []
 
     async def async_start(self) -> None:
-        """Listen."""
+        """Start to serve requests."""
 
         async def _async_serve(sock: socket.socket) -> None:
             self._sockets.append(sock)
-            await async_serve_requests(sock, self._async_answer, _refuse)
+            await async_serve_requests(
+                sock, self._async_handle, _bad_request_response
+            )
 
-        listener = await async_setup_listener(ANYWHERE, _async_serve)
+        listener = await async_setup_listener(ANY_LOCAL_PORT, _async_serve)
         self.address = listener.address
 
     @property
     def connections(self) -> int:
-        """Count the connections that were ever opened here."""
+        """Return the number of all connections opened so far."""
         return len(self._sockets)
 
-    async def async_hang_up(self) -> None:
-        """Close all connections, as an engine does with idle ones."""
+    async def async_close_connections(self) -> None:
+        """Close all connections, as an engine closes idle ones."""
         for sock in self._sockets:
             with suppress(OSError):
                 await sock.shutdown(socket.SHUT_RDWR)
 
     def entry(self, service: str, **changes: Any) -> dict[str, Any]:
-        """Write what it registers in the store."""
+        """Make the entry that the engine registers in the store."""
         return {
             'service': service,
             'address': str(self.address),
@@ -232,7 +242,7 @@
             **changes,
         }
 
-    async def _async_answer(
+    async def _async_handle(
         self,
         request: HttpRequest,
         caller: ServerConnection,
@@ -246,11 +256,11 @@
             headers = {'hornbeamdeck-not-executed': '1'}
             await caller.async_respond(HttpResponse(503, headers, b''))
             return
-        self.ran.append(request)
+        self.executed.append(request)
         try:
             await self._async_run(request, caller, fault)
         except BaseException:
-            self.cut_off += 1
+            self.cancelled_runs += 1
             raise
 
     async def _async_run(
@@ -264,22 +274,25 @@
             return
         if fault == 'silent':
             await sleep(3600)
-        headers = {ECHO: request.headers[ECHO], SEAL: f'seal-{self.name}'}
+        headers = {
+            REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER],
+            SEAL_HEADER: f'seal-{self.name}',
+        }
         if self.keep_alive_s:
             headers['keep-alive'] = f'timeout={self.keep_alive_s}'
         if fault == 'other_id':
-            headers[ECHO] = 'of-another'
-        if fault == 'bare':
-            headers.pop(SEAL)
+            headers[REQUEST_ID_HEADER] = 'of-another'
+        if fault == 'no_seal':
+            headers.pop(SEAL_HEADER)
         if fault == 'error':
             await caller.async_respond(HttpResponse(500, headers, b'broken'))
         elif 'hornbeamdeck-token-counts' in request.headers:
             await self._async_stream(request, caller, headers, fault)
         else:
-            whole = HttpResponse(200, headers, f'by {self.name}'.encode())
-            await caller.async_respond(whole)
-        for sock in self._sockets if self.extra else ():
-            await sock.sendall(self.extra)
+            response = HttpResponse(200, headers, f'by {self.name}'.encode())
+            await caller.async_respond(response)
+        for sock in self._sockets if self.extra_bytes else ():
+            await sock.sendall(self.extra_bytes)
 
     async def _async_stream(
         self,
@@ -298,12 +311,12 @@
                 caller.abort()
                 return
             await caller.async_send(event)
-            await sleep(self.event_pause_s)
+            await sleep(self.event_gap_s)
         await caller.async_end()
 
 
 def document(**changes: Any) -> dict[str, Any]:
-    """Write a configuration as the operator does."""
+    """Make a configuration document as an operator writes it."""
     return {
         'version': 1,
         'routes': [
@@ -347,7 +360,7 @@
 
 
 def route(prefix: str, **changes: Any) -> dict[str, Any]:
-    """Write one route."""
+    """Make one route of a configuration document."""
     return {
         'name': f'r{prefix}',
         'host': 'walks.example',
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file, the settings template and the pins."""
+"""Tests of the deploy file, the settings template and the requirements."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 from hornbeamdeck.process.front_settings import FrontSettings
 
 ROOT = pathlib.Path(__file__).parents[2]
-FIELDS: dict[str, Any] = {
+TEMPLATE_FIELDS: dict[str, Any] = {
     'node_name': 'front-1',
     'zone': 'z1',
     'seeds': ['10.0.0.1:1', '10.0.0.2:1'],
@@ -38,21 +38,21 @@
 }
 
 
-def _fill(template: str) -> str:
-    def _placed(found: re.Match[str]) -> str:
-        field: Any = FIELDS
+def _fill_template(template: str) -> str:
+    def _replace_placeholder(found: re.Match[str]) -> str:
+        field: Any = TEMPLATE_FIELDS
         for name in found.group(1).split('.'):
             field = field[name]
         return json.dumps(field)
 
-    return re.sub(r'\{\{([\w.]+)\|json\}\}', _placed, template)
+    return re.sub(r'\{\{([\w.]+)\|json\}\}', _replace_placeholder, template)
 
 
-def test_the_template_gives_settings_that_pass_the_check() -> None:
+def test_settings_template_is_valid() -> None:
     deploy = tomllib.loads((ROOT / 'deploy/system.toml').read_text())
     role = deploy['roles']['front']
     template = (ROOT / role['template']).read_text()
-    settings = FrontSettings.from_config(json.loads(_fill(template)))
+    settings = FrontSettings.from_config(json.loads(_fill_template(template)))
     assert settings.bounds.grace_ms == 8500
     assert str(settings.entries_address) == '10.0.0.1:4'
     port, _, path = role['metrics'].partition('/')
@@ -60,23 +60,23 @@
     assert path == 'metrics'
 
 
-def test_requirements_have_the_pins_of_the_project() -> None:
+def test_requirements_match_project_pins() -> None:
     project = tomllib.loads((ROOT / 'pyproject.toml').read_text())['project']
     lines = (ROOT / 'requirements.txt').read_text().splitlines()
     pinned = {line for line in lines if line and not line.startswith('#')}
     assert pinned <= set(project['dependencies'])
 
 
-def test_a_failed_install_fails_the_build(tmp_path: pathlib.Path) -> None:
+def test_failed_install_fails_the_build(tmp_path: pathlib.Path) -> None:
     """Guards against a build that succeeds without its dependencies."""
     deploy = tomllib.loads((ROOT / 'deploy/system.toml').read_text())
     python = tmp_path / 'python3'
     python.write_text('#!/bin/sh\n[ "$2" != pip ]\n')
     python.chmod(0o755)
-    built = subprocess.run(
+    completed = subprocess.run(
         ('/bin/sh', '-c', deploy['build']),
         cwd=tmp_path,
         env={'PATH': str(tmp_path)},
         check=False,
     )
-    assert built.returncode != 0
+    assert completed.returncode != 0
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""Headers of callers and engines."""
+"""Tests of request and response headers of callers and engines."""
 
 import pytest
 
@@ -29,34 +29,37 @@
     return HttpRequest('POST', '/a/b', 'q=1', {**HEADERS, **named}, b'body')
 
 
-def _ask(**changes: str) -> RoutedAsk:
+def _decoded(**changes: str) -> RoutedAsk:
     return read_request(_request(**changes)).unwrap()
 
 
-def test_a_request_is_decoded() -> None:
-    ask = _ask()
-    assert ask.host == 'walks.example'
-    assert ask.key == 'some-key'
-    assert ask.patience_ms == 1500
-    assert (ask.prompt_tokens, ask.output_tokens) == (1460, 80)
-    assert ask.expected_tokens == 40
-    assert ask.prompt_parts == ('5c1e07a2', 'e4402b7d')
+def test_request_is_decoded() -> None:
+    decoded = _decoded()
+    assert decoded.host == 'walks.example'
+    assert decoded.key == 'some-key'
+    assert decoded.patience_ms == 1500
+    assert (decoded.prompt_tokens, decoded.output_tokens) == (1460, 80)
+    assert decoded.expected_tokens == 40
+    assert decoded.prompt_parts == ('5c1e07a2', 'e4402b7d')
 
 
 @pytest.mark.parametrize('text', ['', 'x', '-5', '9' * 5000, '١٢', '1e9', ','])
-def test_odd_numbers_count_as_not_told(text: str) -> None:
-    ask = _ask(
+def test_malformed_numbers_are_ignored(text: str) -> None:
+    decoded = _decoded(
         hornbeamdeck_token_counts=text,
         hornbeamdeck_length_hint=text,
         hornbeamdeck_deadline_ms=text,
     )
-    assert ask.patience_ms > 0
-    assert 0 <= ask.prompt_tokens <= 10_000_000
+    assert decoded.patience_ms > 0
+    assert 0 <= decoded.prompt_tokens <= 10_000_000
 
 
-def test_two_lengths_at_once_are_refused() -> None:
-    """A request names a length and comes in chunks. Whoever reads the other of
-    the two takes its tail for a second request, and runs what nobody asked.
+def test_request_with_two_lengths_is_refused() -> None:
+    """Guards against request smuggling.
+
+    A request has both a content length and chunks. If two servers disagree on
+    which of them ends the body, one takes the rest of the body for a second
+    request and runs it, though no caller sent it.
     """
     smuggled = read_request(
         _request(content_length='3', transfer_encoding='chunked'),
@@ -64,16 +67,18 @@
     assert smuggled.unwrap_err().code == 'two_lengths'
 
 
-def test_a_request_without_an_id_is_refused() -> None:
+def test_request_without_single_id_is_refused() -> None:
     assert read_request(_request(hornbeamdeck_request_id='')).is_err()
     assert read_request(_request(hornbeamdeck_request_id='a, b')).is_err()
 
 
-def test_an_engine_gets_no_key_and_what_only_the_system_sets() -> None:
-    """A caller sends headers that reserve memory or name another team. Passed
-    on, they would act in the system's name.
+def test_engine_request_omits_key_and_reserved_headers() -> None:
+    """Guards against callers that set headers reserved for the gateway.
+
+    Such headers reserve memory or name another team. If they were passed on,
+    an engine would take them for headers of the gateway.
     """
-    ask = _ask(
+    decoded = _decoded(
         hornbeamdeck_tenant='somebody',
         hornbeamdeck_hold='1',
         hornbeamdeck_pin_ms='5',
@@ -85,7 +90,7 @@
         x_private='1',
         last_event_id='3',
     )
-    headers = engine_headers(ask, Dispatch('e1', 'guides', 900, '7'))
+    headers = engine_headers(decoded, Dispatch('e1', 'guides', 900, '7'))
     assert headers == {
         'host': 'Walks.example:80',
         'hornbeamdeck-request-id': 'id-1',
@@ -126,21 +131,22 @@
         ),
     ],
 )
-def test_only_an_engines_own_word_proves_that_nothing_ran(
+def test_only_engine_header_shows_that_request_did_not_run(
     status: int,
     headers: dict[str, str],
     verdict: Verdict,
 ) -> None:
     assert (
-        classify_response(_ask(), HttpResponse(status, headers, b'')) == verdict
+        classify_response(_decoded(), HttpResponse(status, headers, b''))
+        == verdict
     )
 
 
-def test_a_refusal_says_when_to_return_and_bears_no_seal() -> None:
-    answer = failure_response(NotRun(503, 'overloaded', 'full', 1250), 'id-1')
-    assert answer.headers['retry-after'] == '1.250'
-    assert 'hornbeamdeck-response-seal' not in answer.headers
+def test_refusal_has_retry_after_and_no_seal() -> None:
+    response = failure_response(NotRun(503, 'overloaded', 'full', 1250), 'id-1')
+    assert response.headers['retry-after'] == '1.250'
+    assert 'hornbeamdeck-response-seal' not in response.headers
 
 
-def test_what_may_have_run_is_never_called_refused() -> None:
+def test_unknown_outcome_is_not_reported_as_refused() -> None:
     assert failure_response(Unknown(502, 'x', 'y', 5), 'id-1').status == 502
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The stored configuration and engine entries."""
+"""Tests of parsing the stored configuration and engine entries."""
 
 import json
 from typing import Any
@@ -20,17 +20,17 @@
 }
 
 
-def _parsed(**changes: Any) -> RoutedConfiguration:
+def _parse_document(**changes: Any) -> RoutedConfiguration:
     text = json.dumps(document(**changes))
     return parse_configuration(text, 7).unwrap()
 
 
-def _found(configuration: RoutedConfiguration, path: str) -> Route | None:
+def _find_route(configuration: RoutedConfiguration, path: str) -> Route | None:
     return configuration.find_route('walks.example', path)
 
 
-def test_the_longest_prefix_that_begins_the_path_is_found() -> None:
-    configuration = _parsed()
+def test_longest_matching_prefix_is_found() -> None:
+    configuration = _parse_document()
     for path, prefix in (
         ('/seats/oak', '/seats/'),
         ('/seats/pay/1', '/seats/pay/'),
@@ -38,28 +38,30 @@
         ('/seats/payment/1', '/seats/'),
         ('/seats/', '/seats/'),
     ):
-        found = _found(configuration, path)
+        found = _find_route(configuration, path)
         assert found is not None
         assert found.path_prefix == prefix
-    assert _found(configuration, '/seats') is None
-    assert _found(configuration, 'seats/x') is None
+    assert _find_route(configuration, '/seats') is None
+    assert _find_route(configuration, 'seats/x') is None
     assert configuration.find_route('other.example', '/seats/x') is None
 
 
-def test_a_split_goes_by_weight() -> None:
+def test_traffic_split_follows_weights() -> None:
     split = [
         {'service': 'a', 'weight': 90},
         {'service': 'b', 'weight': 10},
     ]
-    found = _found(_parsed(routes=[route('/x/', traffic_split=split)]), '/x/1')
+    found = _find_route(
+        _parse_document(routes=[route('/x/', traffic_split=split)]), '/x/1'
+    )
     assert found is not None
     picked = [found.pick_service(number / 100) for number in range(100)]
     assert picked.count('a') == 90
     assert picked.count('b') == 10
 
 
-def test_keys_lead_to_teams_and_are_not_kept() -> None:
-    configuration = _parsed()
+def test_keys_map_to_teams_and_are_not_stored() -> None:
+    configuration = _parse_document()
     team = configuration.team_of_key('key-of-guides')
     assert team is not None
     assert team.name == 'guides'
@@ -79,11 +81,11 @@
         '[' * 100_000,
     ],
 )
-def test_a_document_that_can_not_be_read_is_an_error(text: str) -> None:
+def test_invalid_document_is_an_error(text: str) -> None:
     assert parse_configuration(text, 7).is_err()
 
 
-def test_an_entry_becomes_an_engine() -> None:
+def test_entry_is_parsed_to_engine() -> None:
     engine = parse_engine('e1', ENTRY)
     assert engine is not None
     assert str(engine.address) == '10.0.0.1:80'
@@ -110,5 +112,5 @@
         {**ENTRY, 'born': 'x'},
     ],
 )
-def test_odd_entries_name_no_engine(spec: Any) -> None:
+def test_invalid_entry_is_ignored(spec: Any) -> None:
     assert parse_engine('e1', spec) is None
--- a/tests/platform/test_engine_connections.py
+++ b/tests/platform/test_engine_connections.py
@@ -1,105 +1,116 @@
-"""Connections to engines that are kept open between requests."""
+"""Tests of pooled connections to engines."""
 
 import pytest
 
 from hornbeamdeck.connection.kept import kept_for_ms
-from tests.platform.fleet import TOKENS, PlatformFleet, on_platform
+from tests.platform.fleet import TOKEN_COUNTS, PlatformFleet, on_platform
 from tests.platform.standins import EngineStandin
 
-LATE_ANSWER = b'HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate'
+EXTRA_RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate'
 
 
-def _one_counter(fleet: PlatformFleet) -> EngineStandin:
-    """Leave one counter that keeps connections; the other has no place."""
-    fleet.counters[1].faults = ['not_run'] * 99
-    fleet.counters[0].keep_alive_s = 10
-    return fleet.counters[0]
+def _single_booking_engine(fleet: PlatformFleet) -> EngineStandin:
+    """Return the booking engine that runs all requests.
+
+    It keeps connections open. The other booking engine rejects its requests.
+    """
+    fleet.booking_engines[1].faults = ['not_run'] * 99
+    fleet.booking_engines[0].keep_alive_s = 10
+    return fleet.booking_engines[0]
 
 
 @on_platform()
-async def test_what_may_repeat_shares_a_connection(
+async def test_idempotent_requests_share_a_connection(
     fleet: PlatformFleet,
 ) -> None:
-    counter = _one_counter(fleet)
+    engine = _single_booking_engine(fleet)
     for _ in range(5):
         got = await fleet.async_call('/seats/x')
         assert got.body == b'by counter-1'
-    assert len(counter.ran) == 5
-    assert counter.connections == 1
+    assert len(engine.executed) == 5
+    assert engine.connections == 1
 
 
 @on_platform()
-async def test_streams_that_may_go_on_elsewhere_share_one_too(
+async def test_resumable_streams_share_a_connection(
     fleet: PlatformFleet,
 ) -> None:
-    for desk in fleet.desks:
-        desk.keep_alive_s = 10
+    for engine in fleet.model_engines:
+        engine.keep_alive_s = 10
     for _ in range(6):
-        got = await fleet.async_call('/guide/x', tokens=TOKENS)
+        got = await fleet.async_call('/guide/x', tokens=TOKEN_COUNTS)
         assert got.status == 200
-    assert sum(desk.connections for desk in fleet.desks) <= 2
+    assert sum(engine.connections for engine in fleet.model_engines) <= 2
 
 
 @on_platform()
-async def test_a_payment_has_a_connection_of_its_own(
+async def test_non_idempotent_request_uses_new_connection(
     fleet: PlatformFleet,
 ) -> None:
-    """A kept connection dies in the moment in which a payment is written to
-    it. Nobody could tell whether the payment was made, and it could not be
-    sent again; on a new connection that can't happen.
+    """Guards against payments with an unknown outcome.
+
+    An idle connection may break at the moment at which a payment is written
+    to it. It would be unknown whether the payment was made, so it could not be
+    retried. On a new connection this can't happen.
     """
-    counter = _one_counter(fleet)
+    engine = _single_booking_engine(fleet)
     await fleet.async_call('/seats/x')
     for _ in range(3):
         got = await fleet.async_call('/seats/pay/x')
         assert got.status == 200
-    assert counter.connections == 4
+    assert engine.connections == 4
 
 
 @on_platform()
-async def test_a_connection_that_the_engine_closed_is_not_used(
+async def test_connection_closed_by_engine_is_not_reused(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine closes what is idle. A lookup written to such a connection
+    """Guards against requests on a connection that the engine has closed.
+
+    Engines close idle connections. A lookup written to such a connection
     would be lost, and its caller would wait for the second engine.
     """
-    counter = _one_counter(fleet)
+    engine = _single_booking_engine(fleet)
     await fleet.async_call('/seats/x')
-    await counter.async_hang_up()
+    await engine.async_close_connections()
     await fleet.async_until(lambda: True)
     got = await fleet.async_call('/seats/x')
     assert got.body == b'by counter-1'
-    assert counter.connections == 2
-    assert len(counter.ran) == 2
+    assert engine.connections == 2
+    assert len(engine.executed) == 2
 
 
 @on_platform()
-async def test_bytes_after_an_answer_belong_to_nobody(
+async def test_connection_with_extra_bytes_is_not_reused(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine sends an extra answer after a whole one. Read on the same
-    connection, it would be taken for the answer to the next request.
+    """Guards against returning the response to another request.
+
+    An engine sends a second response after a complete one. On a reused
+    connection it would be taken for the response to the next request.
     """
-    counter = _one_counter(fleet)
-    counter.extra = LATE_ANSWER
+    engine = _single_booking_engine(fleet)
+    engine.extra_bytes = EXTRA_RESPONSE
     await fleet.async_call('/seats/x')
-    counter.extra = b''
+    engine.extra_bytes = b''
     got = await fleet.async_call('/seats/x')
     assert got.body == b'by counter-1'
-    assert counter.connections == 2
+    assert engine.connections == 2
 
 
 @on_platform()
-async def test_without_a_promise_nothing_is_kept(fleet: PlatformFleet) -> None:
-    counter = _one_counter(fleet)
-    counter.keep_alive_s = 0
+async def test_connection_without_keep_alive_is_not_pooled(
+    fleet: PlatformFleet,
+) -> None:
+    engine = _single_booking_engine(fleet)
+    engine.keep_alive_s = 0
     for _ in range(3):
         await fleet.async_call('/seats/x')
-    assert counter.connections == 3
+    assert engine.connections == 3
 
 
 @pytest.mark.parametrize(
-    ('announced', 'kept_ms'),
+    ('header', 'idle_ms'),
     [
         ('timeout=10', 8000),
         ('max=5, timeout=5', 4000),
@@ -107,9 +118,9 @@
         ('timeout=soon', 0),
     ],
 )
-def test_a_connection_is_kept_for_less_than_is_announced(
-    announced: str,
-    kept_ms: float,
+def test_idle_time_is_shorter_than_announced(
+    header: str,
+    idle_ms: float,
 ) -> None:
-    assert kept_for_ms({'keep-alive': announced}) == kept_ms
+    assert kept_for_ms({'keep-alive': header}) == idle_ms
     assert not kept_for_ms({})
--- a/tests/platform/test_engine_faults.py
+++ b/tests/platform/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""What callers see when engines fail, each in its way."""
+"""Tests of responses to callers when engines fail in different ways."""
 
 from unittest.mock import patch
 
@@ -6,56 +6,75 @@
 
 from hornbeamdeck.scheduling.engine_load import EngineLoad
 from hornbeamdeck.scheduling.engine_run import EngineRun
-from tests.platform.fleet import TOKENS, PlatformFleet, on_platform, request_to
+from tests.platform.fleet import (
+    TOKEN_COUNTS,
+    PlatformFleet,
+    make_request,
+    on_platform,
+)
 
 
-def _all(fleet: PlatformFleet, fault: str) -> None:
-    for engine in fleet.desks + fleet.counters:
+def _set_fault_on_all(fleet: PlatformFleet, fault: str) -> None:
+    for engine in fleet.model_engines + fleet.booking_engines:
         engine.faults = [fault]
 
 
-def _runs(fleet: PlatformFleet) -> int:
-    return sum(len(engine.ran) for engine in fleet.desks + fleet.counters)
+def _run_count(fleet: PlatformFleet) -> int:
+    return sum(
+        len(engine.executed)
+        for engine in fleet.model_engines + fleet.booking_engines
+    )
 
 
 @on_platform()
-async def test_what_was_not_run_goes_to_another_engine(
+async def test_rejected_request_is_sent_to_another_engine(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine is full and says so. Nothing has run, so even a payment may
-    go to the next one, and its caller notices nothing.
+    """Guards against failing a request that no engine has run.
+
+    An engine is full and rejects a payment without running it. The payment may
+    be sent to the next engine, and its caller gets that engine's response.
     """
-    fleet.counters[0].faults = ['not_run']
-    fleet.counters[1].faults = []
+    fleet.booking_engines[0].faults = ['not_run']
+    fleet.booking_engines[1].faults = []
     got = await fleet.async_call('/seats/pay/x')
     assert got.status == 200
-    assert _runs(fleet) == 1
+    assert _run_count(fleet) == 1
 
 
 @on_platform()
-async def test_a_payment_is_never_sent_twice(fleet: PlatformFleet) -> None:
-    """The connection breaks after a payment was sent. It may have been made,
-    so it goes nowhere else, and nobody is told that it was not.
+async def test_non_idempotent_request_is_not_retried(
+    fleet: PlatformFleet,
+) -> None:
+    """Guards against making a payment twice.
+
+    The connection breaks after a payment was sent, so it may have been made.
+    It must not be retried, and its caller must not get a response which states
+    that it did not run.
     """
-    _all(fleet, 'reset')
+    _set_fault_on_all(fleet, 'reset')
     got = await fleet.async_call('/seats/pay/x')
     assert got.status == 502
-    assert _runs(fleet) == 1
+    assert _run_count(fleet) == 1
 
 
 @on_platform()
-async def test_a_lookup_is_tried_once_more(fleet: PlatformFleet) -> None:
-    """A lookup's engine resets or fails. The lookup may repeat, so its caller
-    gets the second engine's answer.
+async def test_idempotent_request_is_retried_once(fleet: PlatformFleet) -> None:
+    """Guards against failing a lookup at the first engine fault.
+
+    The engine of a lookup resets the connection or fails. A lookup is
+    idempotent, so it is retried on the second engine, whose response its caller
+    gets.
     """
-    for fault in ('reset', 'error', 'other_id', 'bare'):
-        fleet.counters[0].faults = [fault]
-        fleet.counters[1].faults = [fault]
-        fleet.counters[0].ran.clear()
-        fleet.counters[1].ran.clear()
+    for fault in ('reset', 'error', 'other_id', 'no_seal'):
+        fleet.booking_engines[0].faults = [fault]
+        fleet.booking_engines[1].faults = [fault]
+        fleet.booking_engines[0].executed.clear()
+        fleet.booking_engines[1].executed.clear()
         got = await fleet.async_call('/seats/x')
-        assert _runs(fleet) == 2, fault
-        # Both fail here: the last word is an engine's own error or ours.
+        assert _run_count(fleet) == 2, fault
+        # Both engines fail here. The final response is the engine's error, or
+        # the gateway's where the engine sent no usable response.
         assert got.status == (500 if fault == 'error' else 502)
         assert ('hornbeamdeck-response-seal' in got.headers) == (
             fault == 'error'
@@ -63,63 +82,75 @@
 
 
 @on_platform()
-async def test_a_stream_goes_on_at_another_engine(
+async def test_stream_is_resumed_on_another_engine(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine breaks in the middle of an event. The guide reads one whole
-    answer with every word once, under the first engine's seal.
+    """Guards against lost or repeated events of a resumed stream.
+
+    An engine's connection breaks within an event. The caller must get one
+    complete response with every word once, under the first engine's seal.
     """
-    for engine in fleet.desks:
+    for engine in fleet.model_engines:
         engine.faults = ['cut']
-    fleet.desks[0].faults = ['cut']
-    fleet.desks[1].faults = []
+    fleet.model_engines[0].faults = ['cut']
+    fleet.model_engines[1].faults = []
     for _ in range(4):
-        got = await fleet.async_call('/guide/x', tokens=TOKENS)
-        words = [line for line in got.body.splitlines() if line[:4] == b'data']
-        assert words == [b'data: word 1', b'data: word 2', b'data: word 3']
-    assert not fleet.desks[0].faults
+        got = await fleet.async_call('/guide/x', tokens=TOKEN_COUNTS)
+        events = [line for line in got.body.splitlines() if line[:4] == b'data']
+        assert events == [b'data: word 1', b'data: word 2', b'data: word 3']
+    assert not fleet.model_engines[0].faults
 
 
 @on_platform()
-async def test_a_broken_stream_never_looks_whole(
+async def test_broken_stream_is_not_ended_cleanly(
     fleet: PlatformFleet,
 ) -> None:
-    """A stream that can't be resumed breaks. Ended cleanly, half a species
-    note would pass for a whole one; the connection breaks instead.
+    """Guards against an incomplete stream that looks complete.
+
+    A stream that can't be resumed breaks. With a clean end, callers would take
+    half of the text for all of it, so the connection is aborted instead.
     """
-    for engine in fleet.desks:
+    for engine in fleet.model_engines:
         engine.faults = ['cut']
     connection = await fleet.async_open()
-    got = await connection.async_fetch(request_to('/note/x', tokens=TOKENS))
+    got = await connection.async_fetch(
+        make_request('/note/x', tokens=TOKEN_COUNTS)
+    )
     assert got.is_err()
 
 
 @on_platform()
-async def test_the_engine_stops_when_the_caller_leaves(
+async def test_run_is_cancelled_when_caller_disconnects(
     fleet: PlatformFleet,
 ) -> None:
-    """A caller closes its connection. Unless the engine is told at once it
-    works on for nobody, and those who wait are served later.
+    """Guards against engines that work on abandoned requests.
+
+    A caller closes its connection. Unless the engine's run is cancelled at
+    once, it occupies the engine, and waiting requests are served later.
     """
-    for engine in fleet.desks:
+    for engine in fleet.model_engines:
         engine.faults = ['silent']
     connection = await fleet.async_open()
-    await connection.async_send(request_to('/note/x', tokens=TOKENS))
-    await fleet.async_until(lambda: _runs(fleet) == 1)
+    await connection.async_send(make_request('/note/x', tokens=TOKEN_COUNTS))
+    await fleet.async_until(lambda: _run_count(fleet) == 1)
     await connection.async_close()
     await fleet.async_until(
-        lambda: sum(engine.cut_off for engine in fleet.desks) == 1,
+        lambda: (
+            sum(engine.cancelled_runs for engine in fleet.model_engines) == 1
+        ),
     )
 
 
 @on_platform()
-async def test_the_final_answer_comes_at_the_routes_time_limit(
+async def test_final_response_is_sent_at_time_limit(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine is silent. The caller is not left waiting past the time that
-    the route allows, and is not told that nothing ran.
+    """Guards against callers that wait past the time limit.
+
+    An engine sends no response. The caller must get a final response at the
+    time limit, and it must not state that nothing ran.
     """
-    for engine in fleet.counters:
+    for engine in fleet.booking_engines:
         engine.faults = ['silent']
     got = await fleet.async_call(
         '/seats/pay/x',
@@ -129,53 +160,60 @@
 
 
 @on_platform()
-async def test_an_address_used_again_runs_nothing(
+async def test_engine_at_reused_address_runs_nothing(
     fleet: PlatformFleet,
 ) -> None:
-    """An engine is gone and another service's engine has its address. It says
-    that it is not the one; the request goes elsewhere.
+    """Guards against running a request on the wrong engine.
+
+    An engine is gone and an engine of another service has its address. That
+    engine rejects the request as misdirected, and the request is sent to
+    another engine.
     """
-    fleet.counters[0].name = 'somebody-else'
+    fleet.booking_engines[0].name = 'somebody-else'
     for _ in range(3):
         assert (await fleet.async_call('/seats/pay/x')).status == 200
-    assert not fleet.counters[0].ran
+    assert not fleet.booking_engines[0].executed
 
 
 @on_platform()
-async def test_a_leaving_engine_gets_no_new_work(fleet: PlatformFleet) -> None:
-    engine = fleet.counters[0]
+async def test_draining_engine_gets_no_new_requests(
+    fleet: PlatformFleet,
+) -> None:
+    engine = fleet.booking_engines[0]
     entry = engine.entry('counter', state='draining')
     await fleet.store.async_put('servers', engine.name, entry)
     directory = fleet.fronts[0].parts.directory
     await fleet.async_until(lambda: directory.engines[engine.name].is_leaving)
     for _ in range(4):
         assert (await fleet.async_call('/seats/x')).status == 200
-    assert not engine.ran
+    assert not engine.executed
 
 
 @on_platform()
-async def test_odd_entries_are_ignored_one_by_one(
+async def test_invalid_entries_are_ignored_individually(
     fleet: PlatformFleet,
 ) -> None:
-    """Another writer puts entries into the store that no engine wrote. The
-    engines beside them go on serving.
+    """Guards against losing valid engines because of invalid entries.
+
+    Another program writes invalid engine entries into the store. The engines
+    with valid entries must continue to serve requests.
     """
-    good = fleet.counters[0].entry('counter')
-    odd = (
+    valid = fleet.booking_engines[0].entry('counter')
+    invalid = (
         {'service': 'counter'},
-        {**good, 'address': 'nowhere'},
-        {**good, 'state': 'odd'},
-        {**good, 'slots': 'many'},
+        {**valid, 'address': 'nowhere'},
+        {**valid, 'state': 'odd'},
+        {**valid, 'slots': 'many'},
         'not even an object',
         None,
-        {**good, 'born': 'today'},
+        {**valid, 'born': 'today'},
     )
-    for number, spec in enumerate(odd):
+    for number, spec in enumerate(invalid):
         await fleet.store.async_put('servers', f'odd-{number}', spec)
     await fleet.store.async_put(
         'servers',
         'counter-9',
-        fleet.counters[1].entry('counter', slots=7),
+        fleet.booking_engines[1].entry('counter', slots=7),
     )
     directory = fleet.fronts[0].parts.directory
     await fleet.async_until(lambda: 'counter-9' in directory.engines)
@@ -185,28 +223,31 @@
 
 
 @on_platform()
-async def test_the_pause_of_a_take_over_teaches_nothing(
+async def test_gap_of_resumed_stream_is_not_learned(
     fleet: PlatformFleet,
 ) -> None:
-    """A stream breaks and goes on at another engine a while later. Taken for a
-    pause that reading prompts makes, it would keep long prompts off engines.
+    """Guards against learning a wrong effect of prompts on streams.
+
+    A stream breaks and is resumed on another engine after a gap. If this gap
+    were attributed to the reading of prompts, the scheduler would keep long
+    prompts off engines.
     """
-    seen = []
-    learn = EngineLoad.learn_pause
-
-    def _note(load: EngineLoad, run: EngineRun, gap_ms: float) -> None:
-        seen.append(gap_ms)
-        learn(load, run, gap_ms)
-
-    with patch.object(EngineLoad, 'learn_pause', _note):
-        for desk in fleet.desks:
-            desk.event_pause_s = 0.02
-        await fleet.async_call('/guide/x', tokens=TOKENS)
-        await fleet.async_until(lambda: len(seen) == 1)
-        fleet.desks[0].faults = ['cut']
-        fleet.desks[1].faults = ['']
+    gaps_ms = []
+    learn_pause = EngineLoad.learn_pause
+
+    def _record_gap(load: EngineLoad, run: EngineRun, gap_ms: float) -> None:
+        gaps_ms.append(gap_ms)
+        learn_pause(load, run, gap_ms)
+
+    with patch.object(EngineLoad, 'learn_pause', _record_gap):
+        for engine in fleet.model_engines:
+            engine.event_gap_s = 0.02
+        await fleet.async_call('/guide/x', tokens=TOKEN_COUNTS)
+        await fleet.async_until(lambda: len(gaps_ms) == 1)
+        fleet.model_engines[0].faults = ['cut']
+        fleet.model_engines[1].faults = ['']
         for _ in range(2):
-            await fleet.async_call('/guide/x', tokens=TOKENS)
-        await fleet.async_until(lambda: len(seen) == 3)
-    assert seen[0] > 0
-    assert 0 in seen
+            await fleet.async_call('/guide/x', tokens=TOKEN_COUNTS)
+        await fleet.async_until(lambda: len(gaps_ms) == 3)
+    assert gaps_ms[0] > 0
+    assert 0 in gaps_ms
--- a/tests/platform/test_fleet_faults.py
+++ b/tests/platform/test_fleet_faults.py
@@ -1,8 +1,8 @@
-"""What callers see when instances of the fleet die or leave."""
+"""Tests of responses to callers when instances die or shut down."""
 
 from curio import sleep, spawn
 
-from tests.platform.fleet import TOKENS, PlatformFleet, on_platform
+from tests.platform.fleet import TOKEN_COUNTS, PlatformFleet, on_platform
 from tests.platform.standins import document
 
 
@@ -15,62 +15,71 @@
 
 
 @on_platform(3)
-async def test_an_owner_dies_and_the_next_takes_over(
+async def test_next_owner_takes_over_when_owner_dies(
     fleet: PlatformFleet,
 ) -> None:
-    """The instance that grants all requests dies. Callers of the others are
-    served on, by the next owner, and none of their requests runs twice.
+    """Guards against an outage when the owner dies.
+
+    The instance that grants all requests dies. The next owner must grant the
+    requests of the other instances, and none of them may run twice.
     """
-    dead = _owner(fleet)
-    await fleet.fronts[dead].async_kill()
-    alive = [number for number in range(3) if number != dead]
-    for number in alive:
+    owner = _owner(fleet)
+    await fleet.fronts[owner].async_kill()
+    survivors = [number for number in range(3) if number != owner]
+    for number in survivors:
         got = await fleet.async_call('/seats/pay/x', number)
         assert got.status == 200
-    assert sum(len(engine.ran) for engine in fleet.counters) == 2
+    assert sum(len(engine.executed) for engine in fleet.booking_engines) == 2
     await fleet.async_until(
         lambda: all(
             len(fleet.fronts[number].parts.beats.attendance.usable()) == 2
-            for number in alive
+            for number in survivors
         ),
     )
 
 
 @on_platform(2)
-async def test_a_planned_stop_cuts_nothing(fleet: PlatformFleet) -> None:
-    """An instance is stopped while a stream runs. The stream ends whole, the
-    instance says that it is not ready, and callers are sent elsewhere.
+async def test_graceful_shutdown_completes_requests(
+    fleet: PlatformFleet,
+) -> None:
+    """Guards against requests that a graceful shutdown interrupts.
+
+    An instance is stopped during a stream. The stream must be completed, the
+    instance must report that it is not ready, and callers must be directed to
+    other instances.
     """
-    for engine in fleet.desks:
-        engine.event_pause_s = 0.3
-    stream = await spawn(fleet.async_call('/note/x', 0, tokens=TOKENS))
+    for engine in fleet.model_engines:
+        engine.event_gap_s = 0.3
+    stream = await spawn(fleet.async_call('/note/x', 0, tokens=TOKEN_COUNTS))
     await fleet.async_until(lambda: fleet.fronts[0].in_flight == 1)
     stopping = await spawn(fleet.fronts[0].async_stop())
     await sleep(0.1)
     assert not fleet.fronts[0].is_ready
-    late = await fleet.async_call('/seats/x', 0)
-    assert late.status == 200
-    assert late.headers['connection'] == 'close'
+    new_request = await fleet.async_call('/seats/x', 0)
+    assert new_request.status == 200
+    assert new_request.headers['connection'] == 'close'
     got = await stream.join()
     assert got.body.count(b'data: word') == 3
     assert await stopping.join() == 0
     usable = fleet.fronts[1].parts.beats.attendance.usable()
     assert [each.instance_id for each in usable] == ['front-1']
-    assert 'front-0' not in fleet.store.stored['instances']
+    assert 'front-0' not in fleet.store.stored_objects['instances']
 
 
 @on_platform(3)
-async def test_a_new_owner_knows_what_teams_have_spent(
+async def test_new_owner_keeps_spending_of_teams(
     fleet: PlatformFleet,
 ) -> None:
-    """A team has spent its limit as the owner dies. Were its spending
-    forgotten, each new owner would let it spend a whole limit more.
+    """Guards against a reset of token limits when the owner changes.
+
+    A team has spent its limit when the owner dies. If its spending were lost,
+    each new owner would let the team spend the whole limit again.
     """
-    slow = {**document()['tenants'][0], 'rate_per_s': 100}
+    limited_team = {**document()['tenants'][0], 'rate_per_s': 100}
     version = await fleet.store.async_put(
         'config',
         'main',
-        document(tenants=[slow]),
+        document(tenants=[limited_team]),
     )
     await fleet.async_until(
         lambda: all(
@@ -78,18 +87,22 @@
             for front in fleet.fronts
         ),
     )
-    dead = _owner(fleet)
-    caller = (dead + 1) % 3
-    big = '60000,9000'
-    assert (await fleet.async_call('/note/x', caller, tokens=big)).status == 200
-    assert (await fleet.async_call('/note/x', caller, tokens=big)).status == 429
-    heirs = [front for front in fleet.fronts if not front.parts.is_owner]
+    owner = _owner(fleet)
+    caller = (owner + 1) % 3
+    large = '60000,9000'
+    assert (
+        await fleet.async_call('/note/x', caller, tokens=large)
+    ).status == 200
+    assert (
+        await fleet.async_call('/note/x', caller, tokens=large)
+    ).status == 429
+    successors = [front for front in fleet.fronts if not front.parts.is_owner]
     await fleet.async_until(
         lambda: all(
             front.parts.beats._parts.reports.spent('guides') >= 69_000
-            for front in heirs
+            for front in successors
         ),
     )
-    await fleet.fronts[dead].async_kill()
-    got = await fleet.async_call('/note/x', caller, tokens=big)
+    await fleet.fronts[owner].async_kill()
+    got = await fleet.async_call('/note/x', caller, tokens=large)
     assert got.status == 429
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,10 +1,10 @@
-"""Startup cost of a front process."""
+"""Tests of the startup cost of a gateway process."""
 
 import subprocess
 import sys
 
-# Needed to read metrics, on the command line or by the product's own interface,
-# but not to start a process on the platform.
+# Needed when metrics are read, on the command line or for hornbeamdeck's own
+# HTTP interface, but not to start a process on the platform.
 NOT_IMPORTED_AT_STARTUP = (
     'fire',
     'http.server',
@@ -21,7 +21,7 @@
 
 
 def test_startup_imports_only_required_modules() -> None:
-    """Guards against slow restarts after all instances were lost."""
+    """Guards against slow restarts after the loss of all instances."""
     completed = subprocess.run(
         (sys.executable, '-c', LIST_MODULES),
         capture_output=True,
--- a/tests/platform/test_store_faults.py
+++ b/tests/platform/test_store_faults.py
@@ -1,4 +1,4 @@
-"""What holds while the users' store is away, lies or turns some away."""
+"""Tests with a store that is unavailable, incomplete or partly reachable."""
 
 from curio import sleep
 
@@ -10,18 +10,20 @@
 from tests.platform.standins import StoreStandin, document
 
 
-def _without_keys() -> object:
+def _document_without_keys() -> object:
     teams = [{**each, 'api_keys': []} for each in document()['tenants']]
     return document(tenants=teams)
 
 
 @on_platform()
-async def test_without_proof_no_keyed_request_is_served(
+async def test_keys_are_refused_while_configuration_is_unconfirmed(
     fleet: PlatformFleet,
 ) -> None:
-    """The store falls silent. A key may have been taken away meanwhile; an
-    instance that can't know refuses, with a time to come back, and the public
-    route goes on.
+    """Guards against accepting keys that may have been revoked.
+
+    The store stops responding, so a key may have been revoked unnoticed. The
+    instance must refuse requests that need a key, with a retry-after time, and
+    must still serve the public route.
     """
     front = fleet.fronts[0]
     fleet.store.is_silent = True
@@ -45,43 +47,47 @@
 
 
 @on_platform(2)
-async def test_one_that_is_turned_away_learns_from_the_others(
+async def test_instance_without_store_gets_revocation_from_peers(
     fleet: PlatformFleet,
 ) -> None:
-    """The store turns some instances away and serves the others. A key taken
-    away must be dead at all of them, and no caller refused without need.
+    """Guards against accepting a revoked key on instances without the store.
+
+    The store serves only some of the instances. A revoked key must be refused
+    by all of them, and no caller may be refused unnecessarily.
     """
-    deaf = StoreStandin()
-    deaf.is_silent = True
+    silent_store = StoreStandin()
+    silent_store.is_silent = True
     seeds = [
         str(front.parts.membership.own.peer_address) for front in fleet.fronts
     ]
-    outcast = await fleet.async_add_front(
+    isolated = await fleet.async_add_front(
         9,
-        store=await deaf.async_start(),
+        store=await silent_store.async_start(),
         seeds=tuple(seeds),
     )
-    await fleet.async_until(lambda: outcast.is_ready)
+    await fleet.async_until(lambda: isolated.is_ready)
     assert (await fleet.async_call('/seats/x', -1)).status == 200
-    await fleet.store.async_put('config', 'main', _without_keys())
+    await fleet.store.async_put('config', 'main', _document_without_keys())
     await fleet.async_until(
-        lambda: not outcast.parts.follower.configuration.teams_by_key,
+        lambda: not isolated.parts.follower.configuration.teams_by_key,
     )
     assert (await fleet.async_call('/seats/x', -1)).status == 401
-    age_ms = outcast.parts.freshness.age_ms(
-        outcast.parts.follower.configuration.version,
+    age_ms = isolated.parts.freshness.age_ms(
+        isolated.parts.follower.configuration.version,
         now_ms(),
     )
-    assert age_ms < outcast.settings.bounds.revocation_ms
+    assert age_ms < isolated.settings.bounds.revocation_ms
 
 
 @on_platform()
-async def test_history_that_is_gone_is_read_anew(fleet: PlatformFleet) -> None:
-    fleet.store.history_from = 10_000
-    await fleet.store.async_put('config', 'main', _without_keys())
+async def test_expired_watch_revision_leads_to_full_read(
+    fleet: PlatformFleet,
+) -> None:
+    fleet.store.oldest_revision = 10_000
+    await fleet.store.async_put('config', 'main', _document_without_keys())
     follower = fleet.fronts[0].parts.follower
     await fleet.async_until(lambda: not follower.configuration.teams_by_key)
-    engine = fleet.counters[0]
+    engine = fleet.booking_engines[0]
     entry = engine.entry('counter', state='draining')
     await fleet.store.async_put('servers', engine.name, entry)
     directory = fleet.fronts[0].parts.directory
@@ -89,25 +95,27 @@
 
 
 @on_platform()
-async def test_rejected_calls_are_made_again(fleet: PlatformFleet) -> None:
-    fleet.store.refusals = [429, 503, 429, 503]
-    await fleet.store.async_put('config', 'main', _without_keys())
+async def test_rejected_store_calls_are_retried(fleet: PlatformFleet) -> None:
+    fleet.store.next_statuses = [429, 503, 429, 503]
+    await fleet.store.async_put('config', 'main', _document_without_keys())
     follower = fleet.fronts[0].parts.follower
     await fleet.async_until(lambda: not follower.configuration.teams_by_key)
 
 
 @on_platform()
-async def test_engines_that_lapse_with_the_store_are_kept_for_a_moment(
+async def test_engines_missing_after_outage_are_kept_for_a_while(
     fleet: PlatformFleet,
 ) -> None:
-    """The store is down and engines can't renew their entries. On its return
-    it lists none of them, though all live and are back in two seconds; without
-    a memory every request would be refused meanwhile.
+    """Guards against refusing all requests after an outage of the store.
+
+    Engines can't renew their entries during the outage. After it, the store
+    lists none of them, though all are alive and register again within two
+    seconds. Without the previous list every request would be refused meanwhile.
     """
     fleet.store.is_silent = True
     await sleep(2.5)
-    for engine in fleet.counters:
-        fleet.store.stored['servers'].pop(engine.name)
+    for engine in fleet.booking_engines:
+        fleet.store.stored_objects['servers'].pop(engine.name)
     fleet.store.is_silent = False
     await fleet.async_until(
         lambda: fleet.fronts[0].parts.directory.age_ms(now_ms()) < 300,
@@ -115,14 +123,16 @@
     assert (await fleet.async_call('/open/x')).status == 200
     directory = fleet.fronts[0].parts.directory
     await fleet.async_until(
-        lambda: fleet.counters[0].name not in directory.engines,
+        lambda: fleet.booking_engines[0].name not in directory.engines,
     )
 
 
 @on_platform(3)
-async def test_reads_do_not_grow_with_the_fleet(fleet: PlatformFleet) -> None:
-    """Each instance that polls for itself costs calls. Three together make no
-    more than the one that reads for all, and a few at their start.
+async def test_store_calls_do_not_grow_with_fleet(fleet: PlatformFleet) -> None:
+    """Guards against store calls that grow with the number of instances.
+
+    Three instances together may only make the calls of the one instance that
+    reads for all, and a few calls at their start.
     """
     await sleep(3)
     before = fleet.store.calls
@@ -133,47 +143,53 @@
 
 
 @on_platform()
-async def test_a_second_incarnation_takes_its_name_over(
+async def test_new_incarnation_replaces_status_of_old_one(
     fleet: PlatformFleet,
 ) -> None:
-    """A process is killed and starts again under its name. Its entry in the
-    store is the old one's until it writes its own.
+    """Guards against a status that an earlier incarnation left in the store.
+
+    A process is killed and restarts with the same instance ID. Its status in
+    the store is that of the earlier incarnation until it writes its own.
     """
     await fleet.fronts[0].async_kill()
-    again = await fleet.async_add_front(0)
-    await fleet.async_until(lambda: again.is_ready)
-    incarnation = again.parts.membership.own.incarnation
+    restarted = await fleet.async_add_front(0)
+    await fleet.async_until(lambda: restarted.is_ready)
+    incarnation = restarted.parts.membership.own.incarnation
     await fleet.async_until(
         lambda: (
-            fleet.store.stored['instances']['front-0']['spec']['incarnation']
+            fleet.store.stored_objects['instances']['front-0']['spec'][
+                'incarnation'
+            ]
             == incarnation
         ),
     )
 
 
 @on_platform(2)
-async def test_a_key_dies_though_the_owner_is_turned_away(
+async def test_key_is_revoked_when_owner_cannot_read_store(
     fleet: PlatformFleet,
 ) -> None:
-    """The store turns away the instance that reads for all, and at that moment
-    a key is taken away. The others read in its place and tell it, or the key
-    would live on everywhere.
+    """Guards against a revoked key that stays valid on all instances.
+
+    A key is revoked while the store doesn't respond to the owner, which reads
+    for all instances. The other instances must read the configuration instead
+    and send it to the owner.
     """
     ids = [front.settings.instance_id for front in fleet.fronts]
-    first = next(
+    owner_number = next(
         number
         for number in range(10, 99)
         if ranking(FLEET_CELL, [*ids, f'front-{number}'])[0]
         == f'front-{number}'
     )
-    deaf = StoreStandin()
-    deaf.is_silent = True
+    silent_store = StoreStandin()
+    silent_store.is_silent = True
     seeds = [
         str(front.parts.membership.own.peer_address) for front in fleet.fronts
     ]
     owner = await fleet.async_add_front(
-        first,
-        store=await deaf.async_start(),
+        owner_number,
+        store=await silent_store.async_start(),
         seeds=tuple(seeds),
     )
     await fleet.async_until(
@@ -183,7 +199,9 @@
             and not any(front.parts.is_owner for front in fleet.fronts[:2])
         ),
     )
-    version = await fleet.store.async_put('config', 'main', _without_keys())
+    version = await fleet.store.async_put(
+        'config', 'main', _document_without_keys()
+    )
     await fleet.async_until(
         lambda: all(
             front.parts.follower.configuration.version == version
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,62 +1,66 @@
-"""A request from a caller through a front to an engine and back."""
+"""End-to-end tests from a caller through a gateway to an engine."""
 
 import json
 
 from hornbeamdeck.connection.http import HttpRequest
 from hornbeamdeck.connection.platform import StoredObject
-from tests.platform.fleet import TOKENS, PlatformFleet, on_platform
+from tests.platform.fleet import TOKEN_COUNTS, PlatformFleet, on_platform
 from tests.platform.standins import document, route
 from tests.support import async_fetch
 
 
 @on_platform()
-async def test_a_plain_request_gets_its_engines_answer(
+async def test_request_gets_response_of_engine(
     fleet: PlatformFleet,
 ) -> None:
     got = await fleet.async_call('/seats/oak', x_note='kept')
     assert got.status == 200
-    ran = [each for engine in fleet.counters for each in engine.ran]
-    assert len(ran) == 1
-    assert ran[0].headers['hornbeamdeck-tenant'] == 'guides'
-    assert ran[0].headers['host'] == 'walks.example'
-    assert ran[0].headers['x-note'] == 'kept'
-    assert 'authorization' not in ran[0].headers
+    executed = [
+        each for engine in fleet.booking_engines for each in engine.executed
+    ]
+    assert len(executed) == 1
+    assert executed[0].headers['hornbeamdeck-tenant'] == 'guides'
+    assert executed[0].headers['host'] == 'walks.example'
+    assert executed[0].headers['x-note'] == 'kept'
+    assert 'authorization' not in executed[0].headers
     assert got.headers['hornbeamdeck-response-seal'].startswith('seal-')
 
 
 @on_platform(3)
-async def test_a_stream_comes_whole_from_any_front(
+async def test_every_gateway_relays_complete_stream(
     fleet: PlatformFleet,
 ) -> None:
     for number in range(3):
-        got = await fleet.async_call('/note/x', number, tokens=TOKENS)
+        got = await fleet.async_call('/note/x', number, tokens=TOKEN_COUNTS)
         assert got.status == 200
         assert got.body.count(b'data: word') == 3
 
 
 @on_platform(3)
-async def test_all_fronts_name_each_other(fleet: PlatformFleet) -> None:
-    asked = HttpRequest('GET', '/v1/resolve', 'name=walks.example', {}, b'')
+async def test_every_gateway_returns_all_addresses(
+    fleet: PlatformFleet,
+) -> None:
+    request = HttpRequest('GET', '/v1/resolve', 'name=walks.example', {}, b'')
     for front in fleet.fronts:
-        got = await async_fetch(front.listeners[1].address, asked)
+        got = await async_fetch(front.listeners[1].address, request)
         assert len(json.loads(got.body)['addresses']) == 3
 
 
 @on_platform()
-async def test_the_longest_prefix_wins_and_unknown_paths_are_not_found(
+async def test_longest_prefix_wins_and_unknown_path_is_not_found(
     fleet: PlatformFleet,
 ) -> None:
     assert (await fleet.async_call('/nowhere/x')).status == 404
-    fleet.counters[0].faults = ['error']
-    fleet.counters[1].faults = ['error']
-    # Only the shorter, idempotent prefix would be tried again.
+    fleet.booking_engines[0].faults = ['error']
+    fleet.booking_engines[1].faults = ['error']
+    # The route with the shorter prefix is idempotent and would be retried.
     got = await fleet.async_call('/seats/pay/x')
     assert got.status == 500
-    assert sum(len(engine.ran) for engine in fleet.counters) == 1
+    assert sum(len(engine.executed) for engine in fleet.booking_engines) == 1
 
 
 @on_platform()
-async def test_a_wrong_key_is_refused_and_a_public_route_needs_none(
+async def test_wrong_key_is_refused_except_on_public_route(
     fleet: PlatformFleet,
 ) -> None:
     denied = await fleet.async_call('/seats/x', authorization='Bearer no')
@@ -66,7 +70,7 @@
 
 
 @on_platform()
-async def test_a_new_version_is_in_force_soon(fleet: PlatformFleet) -> None:
+async def test_new_version_is_applied(fleet: PlatformFleet) -> None:
     added = [*document()['routes'], route('/new/')]
     await fleet.store.async_put('config', 'main', document(routes=added))
     await fleet.async_until(
@@ -82,9 +86,11 @@
 
 
 @on_platform()
-async def test_an_older_version_never_comes_back(fleet: PlatformFleet) -> None:
-    """A stale read or a peer that lags brings an old document. Adopted, it
-    would bring back a key that was taken away.
+async def test_older_version_is_not_applied(fleet: PlatformFleet) -> None:
+    """Guards against restoring a revoked key.
+
+    A stale read or a lagging peer may deliver an old configuration. If it were
+    applied, a revoked key would be accepted again.
     """
     follower = fleet.fronts[0].parts.follower
     newest = follower.configuration.version
@@ -95,15 +101,15 @@
 
 
 @on_platform()
-async def test_four_hundred_routes_come_during_a_stream(
+async def test_stream_continues_while_routes_are_added(
     fleet: PlatformFleet,
 ) -> None:
     many = [route(f'/r{number}/') for number in range(400)]
     added = document(routes=[*document()['routes'], *many])
-    fleet.desks[0].event_pause_s = 0.05
-    fleet.desks[1].event_pause_s = 0.05
+    fleet.model_engines[0].event_gap_s = 0.05
+    fleet.model_engines[1].event_gap_s = 0.05
     await fleet.store.async_put('config', 'main', added)
-    got = await fleet.async_call('/note/x', tokens=TOKENS)
+    got = await fleet.async_call('/note/x', tokens=TOKEN_COUNTS)
     assert got.body.count(b'data: word') == 3
     await fleet.async_until(
         lambda: (
