--- a/hornbeamdeck/cli.py
+++ b/hornbeamdeck/cli.py
@@ -25,7 +25,7 @@
     load_checked,
     load_settings,
 )
-from hornbeamdeck.standin.commands import async_standin
+from hornbeamdeck.standin.commands import async_run_standin
 
 __all__ = ('main',)
 
@@ -100,7 +100,7 @@
     :param speed: an engine's speed factor.
     """
     setup_logs(level='info', instance_id=f'standin-{kind}')
-    started = curio.run(async_standin, kind, address, float(speed))
+    started = curio.run(async_run_standin, kind, address, float(speed))
     if isinstance(started, Err):
         print(started.err_value, file=sys.stderr)
         sys.exit(EXIT_USAGE)
--- a/hornbeamdeck/standin/__init__.py
+++ b/hornbeamdeck/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines and booking services."""
+"""Simulated platform, model engines and booking services."""
--- a/hornbeamdeck/standin/batch.py
+++ b/hornbeamdeck/standin/batch.py
@@ -1,9 +1,9 @@
-"""The engine stand-in's continuous batching.
+"""Continuous batching of the engine stand-in.
 
-Each step takes prompt tokens of the oldest prompts and gives one token to each
-answer under way; a step lasts longer the more it does. So the time to first
-token grows with the prompt tokens queued, and the time between tokens with the
-batch.
+Each step prefills prompt tokens of the oldest requests and generates one token
+for each running response. A step takes longer the more it processes. The time
+to first token therefore grows with the number of queued prompt tokens, and the
+time between tokens with the batch size.
 """
 
 from typing import Final, NamedTuple, Self
@@ -14,8 +14,8 @@
 
 __all__ = ('Batch', 'EngineModel', 'EngineRecords', 'Sequence')
 
-END_OF_ANSWER: Final = -1
-COUNTED: Final = (
+END_OF_OUTPUT: Final = -1
+COUNTER_NAMES: Final = (
     'prefilled_tokens',
     'wasted_prefill_tokens',
     'output',
@@ -24,11 +24,12 @@
 
 
 class EngineModel(NamedTuple):
-    """How an engine spends its time.
+    """Durations and limits of a simulated engine.
 
-    :param speed: divides every duration; 1 is the reference engine.
-    :param max_batch: answers that its memory holds; the rest of what it has
-        admitted waits inside it, first come, first served.
+    :param speed: divisor of every duration; 1 is the reference engine.
+    :param max_batch: maximum number of responses generated at the same time,
+        as limited by the engine's memory. Further admitted requests wait in
+        the engine in order of arrival.
     """
 
     speed: float = 1
@@ -41,14 +42,15 @@
 
     @classmethod
     def from_config(cls, raw: dict[str, float]) -> Self:
-        """Take what a settings object gives; the rest stays as it is."""
+        """Build from a settings object; missing keys keep their defaults."""
         return cls(**raw)  # type: ignore[arg-type]
 
 
 class EngineRecords(NamedTuple):
-    """What an engine counted.
+    """Counters of an engine.
 
-    :param runs: runs by request id.
+    :param runs: number of runs by request id.
+    :param counts: the other counters by name.
     """
 
     runs: dict[str, int]
@@ -56,48 +58,48 @@
 
 
 class Sequence:
-    """One request in the batch."""
+    """A request in the batch."""
 
     def __init__(self, *, prompt_tokens: int, output_tokens: int) -> None:
-        """Start with nothing prefilled."""
-        self.prefill_left = prompt_tokens
+        """Create a request with no prompt token prefilled."""
+        self.prefill_tokens_left = prompt_tokens
         self.prefilled_tokens = 0
-        self.output_left = output_tokens
+        self.output_tokens_left = output_tokens
         self.output: Queue = Queue()
 
 
 class Batch:
-    """All requests that one engine has admitted."""
+    """The requests that an engine has admitted."""
 
     def __init__(self, model: EngineModel) -> None:
-        """Start empty."""
+        """Create an empty batch."""
         self.model = model
         self.records = EngineRecords(
             {},
-            dict.fromkeys(COUNTED, 0),
+            dict.fromkeys(COUNTER_NAMES, 0),
         )
-        self.most_running = 0
+        self.peak_running = 0
         self._sequences: list[Sequence] = []
-        self._arrived = Event()
+        self._has_sequences = Event()
 
     @property
     def running(self) -> int:
-        """How many requests are in the batch."""
+        """Number of requests in the batch."""
         return len(self._sequences)
 
     @property
     def queued_prompt_tokens(self) -> int:
-        """Prompt tokens not yet prefilled."""
-        return sum(each.prefill_left for each in self._sequences)
+        """Number of prompt tokens that are not prefilled yet."""
+        return sum(each.prefill_tokens_left for each in self._sequences)
 
     async def async_admit(self, sequence: Sequence) -> None:
-        """Take a request in, as engines do, whatever the load."""
+        """Add a request; like real engines, admit it at any load."""
         self._sequences.append(sequence)
-        self.most_running = max(self.most_running, self.running)
-        await self._arrived.set()
+        self.peak_running = max(self.peak_running, self.running)
+        await self._has_sequences.set()
 
     def cancel(self, sequence: Sequence) -> None:
-        """Drop a request; prefill done for it was wasted."""
+        """Remove a request and count its prefilled tokens as wasted."""
         if sequence not in self._sequences:
             return
         self._sequences.remove(sequence)
@@ -105,16 +107,16 @@
         self.records.counts['wasted_prefill_tokens'] += wasted
 
     async def async_run(self) -> None:
-        """Step for ever."""
+        """Run steps until cancelled; wait while the batch is empty."""
         while True:
             if not self._sequences:
-                self._arrived.clear()
-                await self._arrived.wait()
+                self._has_sequences.clear()
+                await self._has_sequences.wait()
             await self._async_step()
 
     async def _async_step(self) -> None:
         active = self._sequences[: self.model.max_batch]
-        decoding = [each for each in active if not each.prefill_left]
+        decoding = [each for each in active if not each.prefill_tokens_left]
         prefilled = self._prefill(active)
         model = self.model
         step_ms = model.step_ms + model.step_per_answer_ms * len(decoding)
@@ -124,22 +126,22 @@
             await self._async_decode(sequence)
 
     def _prefill(self, active: list[Sequence]) -> int:
-        budget = self.model.prefill_chunk_tokens
+        tokens_left = self.model.prefill_chunk_tokens
         for sequence in active:
-            taken = min(budget, sequence.prefill_left)
-            sequence.prefill_left -= taken
-            sequence.prefilled_tokens += taken
-            budget -= taken
-        done = self.model.prefill_chunk_tokens - budget
-        self.records.counts['prefilled_tokens'] += done
-        return done
+            tokens = min(tokens_left, sequence.prefill_tokens_left)
+            sequence.prefill_tokens_left -= tokens
+            sequence.prefilled_tokens += tokens
+            tokens_left -= tokens
+        prefilled_tokens = self.model.prefill_chunk_tokens - tokens_left
+        self.records.counts['prefilled_tokens'] += prefilled_tokens
+        return prefilled_tokens
 
     async def _async_decode(self, sequence: Sequence) -> None:
         if sequence not in self._sequences:
             return
         self.records.counts['output'] += 1
-        sequence.output_left -= 1
-        await sequence.output.put(sequence.output_left)
-        if sequence.output_left <= 0:
+        sequence.output_tokens_left -= 1
+        await sequence.output.put(sequence.output_tokens_left)
+        if sequence.output_tokens_left <= 0:
             self._sequences.remove(sequence)
-            await sequence.output.put(END_OF_ANSWER)
+            await sequence.output.put(END_OF_OUTPUT)
--- a/hornbeamdeck/standin/booking.py
+++ b/hornbeamdeck/standin/booking.py
@@ -1,4 +1,4 @@
-"""Stand-in of a booking service: counts its runs for each idempotency key."""
+"""Booking service stand-in that counts its runs by idempotency key."""
 
 import json
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 from hornbeamdeck.standin.web import (
     async_setup_web,
     json_response,
-    plain_answer,
+    make_handler,
 )
 
 __all__ = ('BookingStandin', 'async_setup_booking')
@@ -25,15 +25,21 @@
 
 
 class BookingStandin:
-    """Books whatever it is sent, each time it is sent."""
+    """A service that makes a booking for every request.
+
+    It doesn't deduplicate: a repeated request makes a second booking.
+    """
 
     def __init__(self, *, service_ms: float) -> None:
-        """Start without bookings."""
+        """Create a service without bookings.
+
+        :param service_ms: duration of one booking, milliseconds.
+        """
         self.runs: dict[str, int] = {}
         self._service_ms = service_ms
 
     async def async_route(self, request: HttpRequest) -> HttpResponse:
-        """Answer a seat lookup or make a booking."""
+        """Look up the free seats or make a booking."""
         if request.path == '/standin/records':
             return json_response(HTTPStatus.OK, {'runs': self.runs})
         if request.method != 'POST':
@@ -50,10 +56,11 @@
     *,
     service_ms: float = DEFAULT_SERVICE_MS,
 ) -> tuple[BookingStandin, Listener]:
-    """Start the stand-in.
+    """Start a booking service that listens on an address.
 
-    :param service_ms: how long one booking takes, milliseconds.
+    :param service_ms: duration of one booking, milliseconds.
+    :returns: the booking service and its listener.
     """
     booking = BookingStandin(service_ms=service_ms)
-    answer = plain_answer(booking.async_route)
-    return booking, await async_setup_web(address, answer)
+    request_handler = make_handler(booking.async_route)
+    return booking, await async_setup_web(address, request_handler)
--- a/hornbeamdeck/standin/commands.py
+++ b/hornbeamdeck/standin/commands.py
@@ -1,4 +1,4 @@
-"""Starts a stand-in as a process of its own."""
+"""Runs a stand-in as a separate process."""
 
 import structlog
 from result import Err, Ok, Result
@@ -11,25 +11,28 @@
 from hornbeamdeck.standin.engine import async_setup_engine
 from hornbeamdeck.standin.platform import async_setup_platform
 
-__all__ = ('async_standin',)
+__all__ = ('async_run_standin',)
 
 _LOGGER = structlog.get_logger(prefix='standin')
 
 
-async def async_standin(
+async def async_run_standin(
     kind: str,
     address: str,
     speed: float,
 ) -> Result[None, str]:
     """Run a stand-in until SIGTERM.
 
-    :returns: an error where there is no such kind or address.
+    :param kind: platform, engine or booking.
+    :param address: ip:port to listen on.
+    :param speed: speed factor of an engine; other kinds ignore it.
+    :returns: an error if the kind is unknown or the address is invalid.
     """
     try:
-        where = Address.from_text(address)
+        parsed = Address.from_text(address)
     except ValueError:
         return Err(f'{address}: expected ip:port')
-    listener = await _async_setup(kind, where, speed)
+    listener = await _async_setup(kind, parsed, speed)
     if listener is None:
         return Err(f'{kind}: expected platform, engine or booking')
     _LOGGER.info('stand-in listens', address=str(listener.address))
--- a/hornbeamdeck/standin/completion.py
+++ b/hornbeamdeck/standin/completion.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible shapes that the engine stand-in reads and writes."""
+"""OpenAI-compatible requests and responses of the engine stand-in."""
 
 import json
 from http import HTTPStatus
@@ -8,15 +8,15 @@
 from hornbeamdeck.const import ENCODING
 from hornbeamdeck.standin.web import json_response
 
-__all__ = ('event', 'make_choice', 'prompt_of', 'whole')
+__all__ = ('encode_event', 'make_choice', 'extract_prompt', 'make_response')
 
 
 def _is_chat(body: dict[str, Any]) -> bool:
     return 'messages' in body
 
 
-def prompt_of(body: dict[str, Any]) -> str:
-    """Take the prompt out of a request."""
+def extract_prompt(body: dict[str, Any]) -> str:
+    """Return the prompt of a completion request."""
     if _is_chat(body):
         return ''.join(str(each['content']) for each in body['messages'])
     return str(body['prompt'])
@@ -25,10 +25,14 @@
 def make_choice(
     text: str,
     body: dict[str, Any],
-    reason: str | None,
+    finish_reason: str | None,
 ) -> dict[str, Any]:
-    """Write the choice of a piece, or of a whole answer."""
-    choice: dict[str, Any] = {'index': 0, 'finish_reason': reason}
+    """Build the choice object of a stream event or a full response.
+
+    :param body: the request.
+    :param finish_reason: `None` while the response continues.
+    """
+    choice: dict[str, Any] = {'index': 0, 'finish_reason': finish_reason}
     if not _is_chat(body):
         return {**choice, 'text': text}
     field = 'delta' if body.get('stream') else 'message'
@@ -48,14 +52,20 @@
     }
 
 
-def whole(text: str, body: dict[str, Any]) -> HttpResponse:
-    """Write a whole answer."""
+def make_response(text: str, body: dict[str, Any]) -> HttpResponse:
+    """Build the response to a request without streaming.
+
+    :param body: the request.
+    """
     return json_response(
         HTTPStatus.OK, _envelope(make_choice(text, body, 'stop'), body)
     )
 
 
-def event(choice: Any, body: dict[str, Any]) -> bytes:
-    """Write an event of a stream."""
+def encode_event(choice: Any, body: dict[str, Any]) -> bytes:
+    """Encode a choice as a server-sent event.
+
+    :param body: the request.
+    """
     encoded = json.dumps(_envelope(choice, body))
     return f'data: {encoded}\n\n'.encode(ENCODING)
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -1,9 +1,14 @@
-"""Stand-in of a model engine: OpenAI-compatible completions over a batch.
+"""Model engine stand-in: OpenAI-compatible completions with batching.
 
-`PUT /standin/switches` changes the speed, breaks all connections and refuses
-new ones for a while, cuts all connections while its runs go on, or names a
-mark whose prompts crash or break the engine;
-`GET /standin/records` gives its own counts.
+`PUT /standin/switches` changes the engine's behaviour:
+
+- `speed` changes the speed factor.
+- `down_ms` closes all connections and refuses new ones for this time.
+- `is_cut` closes all connections; resumable streams continue to run.
+- `crash_mark` and `break_mark` set a text; a prompt that contains it crashes
+  the engine or causes a short outage.
+
+`GET /standin/records` returns the engine's counters.
 """
 
 import json
@@ -26,13 +31,18 @@
     MILLIS_PER_SECOND,
 )
 from hornbeamdeck.standin.batch import (
-    END_OF_ANSWER,
+    END_OF_OUTPUT,
     Batch,
     EngineModel,
     Sequence,
 )
 from hornbeamdeck.standin.cache import PrefixCache
-from hornbeamdeck.standin.completion import event, make_choice, prompt_of, whole
+from hornbeamdeck.standin.completion import (
+    encode_event,
+    extract_prompt,
+    make_choice,
+    make_response,
+)
 from hornbeamdeck.standin.streams import Streams
 from hornbeamdeck.standin.web import async_setup_web, json_response
 
@@ -41,18 +51,19 @@
 DEFAULT_OUTPUT_TOKENS: Final = 16
 CHARS_PER_TOKEN: Final = 4
 REPORT_LAG_MS: Final = 500
-BREAK_MS: Final = 300
+BREAK_OUTAGE_MS: Final = 300
 WORDS: Final = ('oak ', 'elm ', 'ash ', 'yew ', 'fir ', 'bay ', 'box ')
 
-OnCrash: TypeAlias = Callable[[], Awaitable[None]]
-OnOutage: TypeAlias = Callable[[int], Awaitable[None]]
+FaultHandler: TypeAlias = Callable[[], Awaitable[None]]
+OutageHandler: TypeAlias = Callable[[int], Awaitable[None]]
 
 
 def expected_answer(prompt: str, output_tokens: int) -> str:
-    """Tell what an engine answers, so that callers can check it.
+    """Return the response text that an engine generates for a prompt.
 
-    The words depend on the prompt, so an answer that reached the wrong caller
-    or lost a piece differs.
+    Callers compare it with what they received. The words depend on the
+    prompt, so a response that was sent to the wrong caller or lost a part
+    differs from the expected text.
     """
     seed = sum(prompt.encode(ENCODING))
     words = (WORDS[(seed + step) % len(WORDS)] for step in range(output_tokens))
@@ -60,23 +71,26 @@
 
 
 class EngineStandin:
-    """One engine: its batch, its lagging report and its faults."""
+    """An engine with its batch, its delayed load report and its faults."""
 
     def __init__(self, model: EngineModel) -> None:
-        """Start idle."""
+        """Create an idle engine without faults."""
         self.batch = Batch(model)
         self.cache = PrefixCache(max_blocks=model.cache_blocks)
         self.streams = Streams(self.batch)
         self.crash_mark = ''
         self.break_mark = ''
-        self.on_crash: OnCrash | None = None
-        self.on_outage: OnOutage | None = None
-        self.on_cut: OnCrash | None = None
+        self.on_crash: FaultHandler | None = None
+        self.on_outage: OutageHandler | None = None
+        self.on_cut: FaultHandler | None = None
         self.has_crashed = False
         self._reports: deque[dict[str, int]] = deque(maxlen=2)
 
-    async def async_report(self) -> None:
-        """Renew the load report; what is shown is one period old."""
+    async def async_refresh_report(self) -> None:
+        """Update the load report periodically.
+
+        The published report is one period old.
+        """
         while True:
             self._reports.append(
                 {
@@ -86,17 +100,17 @@
             )
             await sleep(REPORT_LAG_MS / MILLIS_PER_SECOND)
 
-    async def async_answer(
+    async def async_handle(
         self,
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
-        """Answer one call."""
+        """Handle a request."""
         if request.path in {'/v1/chat/completions', '/v1/completions'}:
-            await self._async_complete(request, connection)
+            await self._async_handle_completion(request, connection)
             return
         if request.path.startswith('/v1/streams/'):
-            await self.streams.async_answer(request, connection)
+            await self.streams.async_handle(request, connection)
             return
         await connection.async_respond(await self._async_route(request))
 
@@ -113,51 +127,54 @@
                 HTTPStatus.OK, {'runs': records.runs, **records.counts}
             )
         if request.path == '/standin/switches':
-            return await self._async_switch(json.loads(request.body))
+            return await self._async_apply_switches(json.loads(request.body))
         return json_response(HTTPStatus.NOT_FOUND, {'error': 'no such path'})
 
-    async def _async_switch(self, asked: dict[str, Any]) -> HttpResponse:
+    async def _async_apply_switches(
+        self,
+        switches: dict[str, Any],
+    ) -> HttpResponse:
         model = self.batch.model
-        speed = asked.get('speed', model.speed)
+        speed = switches.get('speed', model.speed)
         self.batch.model = model._replace(speed=speed)
-        self.crash_mark = asked.get('crash_mark', self.crash_mark)
-        self.break_mark = asked.get('break_mark', self.break_mark)
-        if 'down_ms' in asked and self.on_outage is not None:
-            await spawn(self.on_outage, asked['down_ms'], daemon=True)
-        if 'is_cut' in asked and self.on_cut is not None:
+        self.crash_mark = switches.get('crash_mark', self.crash_mark)
+        self.break_mark = switches.get('break_mark', self.break_mark)
+        if 'down_ms' in switches and self.on_outage is not None:
+            await spawn(self.on_outage, switches['down_ms'], daemon=True)
+        if 'is_cut' in switches and self.on_cut is not None:
             await spawn(self.on_cut, daemon=True)
         return json_response(HTTPStatus.OK, {})
 
-    async def _async_complete(
+    async def _async_handle_completion(
         self,
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
         body = json.loads(request.body)
-        prompt = prompt_of(body)
+        prompt = extract_prompt(body)
         if self.crash_mark and self.crash_mark in prompt and self.on_crash:
             self.has_crashed = True
             await self.on_crash()
             return
         if self.break_mark and self.break_mark in prompt and self.on_outage:
             self.batch.records.counts['breaks'] += 1
-            await spawn(self.on_outage, BREAK_MS, daemon=True)
+            await spawn(self.on_outage, BREAK_OUTAGE_MS, daemon=True)
             await sleep(1)
             return
         self._count_run(request)
         output_tokens = body.get('max_tokens') or DEFAULT_OUTPUT_TOKENS
-        sequence = self._sequence(prompt, output_tokens)
+        sequence = self._make_sequence(prompt, output_tokens)
         await self.batch.async_admit(sequence)
-        words = _async_words(sequence, prompt, output_tokens)
+        words = _async_generate_words(sequence, prompt, output_tokens)
         if body.get('stream') and HEADER_RESUMABLE in request.headers:
-            await self.streams.async_write_new(
+            await self.streams.async_start(
                 sequence,
-                _async_events(words, body),
+                _async_encode_events(words, body),
                 connection,
             )
             return
         try:
-            await _async_write(words, body, connection)
+            await _async_write_response(words, body, connection)
         finally:
             self.batch.cancel(sequence)
 
@@ -167,76 +184,81 @@
         runs.setdefault(request_id, 0)
         runs[request_id] += 1
 
-    def _sequence(self, prompt: str, output_tokens: int) -> Sequence:
+    def _make_sequence(self, prompt: str, output_tokens: int) -> Sequence:
         prompt_tokens = max(len(prompt) // CHARS_PER_TOKEN, 1)
-        cached = self.cache.take(prompt) // CHARS_PER_TOKEN
+        cached_tokens = self.cache.store_prompt(prompt) // CHARS_PER_TOKEN
         return Sequence(
-            prompt_tokens=prompt_tokens - cached,
+            prompt_tokens=prompt_tokens - cached_tokens,
             output_tokens=output_tokens,
         )
 
 
-async def _async_write(
+async def _async_write_response(
     words: AsyncIterator[str],
     body: dict[str, Any],
     connection: ServerConnection,
 ) -> None:
     if body.get('stream'):
-        await _async_stream(words, body, connection)
+        await _async_write_stream(words, body, connection)
         return
     text = [word async for word in words]
-    await connection.async_respond(whole(''.join(text), body))
+    await connection.async_respond(make_response(''.join(text), body))
 
 
-async def _async_words(
+async def _async_generate_words(
     sequence: Sequence,
     prompt: str,
     output_tokens: int,
 ) -> AsyncIterator[str]:
     seed = sum(prompt.encode(ENCODING))
     while True:
-        left = await sequence.output.get()
-        if left == END_OF_ANSWER:
+        tokens_left = await sequence.output.get()
+        if tokens_left == END_OF_OUTPUT:
             return
-        yield WORDS[(seed + output_tokens - left - 1) % len(WORDS)]
+        yield WORDS[(seed + output_tokens - tokens_left - 1) % len(WORDS)]
 
 
-async def _async_stream(
+async def _async_write_stream(
     words: AsyncIterator[str],
     body: dict[str, Any],
     connection: ServerConnection,
 ) -> None:
     headers = {'content-type': 'text/event-stream'}
     await connection.async_start(HTTPStatus.OK, headers)
-    async for encoded in _async_events(words, body):
+    async for encoded in _async_encode_events(words, body):
         await connection.async_send(encoded)
     await connection.async_end()
 
 
-async def _async_events(
+async def _async_encode_events(
     words: AsyncIterator[str],
     body: dict[str, Any],
 ) -> AsyncIterator[bytes]:
     async for word in words:
-        yield event(make_choice(word, body, None), body)
-    last = event(make_choice('', body, 'stop'), body)
-    yield b'%sdata: [DONE]\n\n' % last
+        yield encode_event(make_choice(word, body, None), body)
+    final_event = encode_event(make_choice('', body, 'stop'), body)
+    yield b'%sdata: [DONE]\n\n' % final_event
 
 
 async def async_setup_engine(
     address: Address,
     model: EngineModel,
 ) -> tuple[EngineStandin, Listener]:
-    """Start an engine; a crash closes its listener and connections."""
+    """Start an engine that listens on an address.
+
+    A crash closes its listener and its connections.
+
+    :returns: the engine and its listener.
+    """
     engine = EngineStandin(model)
-    listeners = [await async_setup_web(address, engine.async_answer)]
+    listeners = [await async_setup_web(address, engine.async_handle)]
     bound = listeners[0].address
-    stepping = await spawn(engine.batch.async_run, daemon=True)
-    reporting = await spawn(engine.async_report, daemon=True)
+    batch_task = await spawn(engine.batch.async_run, daemon=True)
+    report_task = await spawn(engine.async_refresh_report, daemon=True)
 
     async def _async_unload() -> None:
-        await stepping.cancel()
-        await reporting.cancel()
+        await batch_task.cancel()
+        await report_task.cancel()
         await listeners[-1].async_unload()
 
     async def _async_crash() -> None:
@@ -245,13 +267,13 @@
 
     async def _async_cut() -> None:
         await listeners[-1].async_unload()
-        listeners.append(await async_setup_web(bound, engine.async_answer))
+        listeners.append(await async_setup_web(bound, engine.async_handle))
 
     async def _async_outage(down_ms: int) -> None:
         await listeners[-1].async_unload()
-        await engine.streams.async_forget_all()
+        await engine.streams.async_cancel_all()
         await sleep(down_ms / MILLIS_PER_SECOND)
-        listeners.append(await async_setup_web(bound, engine.async_answer))
+        listeners.append(await async_setup_web(bound, engine.async_handle))
 
     engine.on_crash = _async_crash
     engine.on_outage = _async_outage
--- a/hornbeamdeck/standin/platform.py
+++ b/hornbeamdeck/standin/platform.py
@@ -1,8 +1,8 @@
-"""Stand-in of the platform: an object API and a lagging instance list.
+"""Platform stand-in: an object store and a delayed instance list.
 
-Objects have versions from one counter, conditional writes and a watch by long
-poll. `PUT /standin/switches` brings about outages, slowness and answers lost
-after the write took effect.
+Object versions come from a single counter. The store supports conditional
+writes and a watch by long polling. `PUT /standin/switches` simulates outages,
+slow responses and responses that are lost after the write took effect.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 __all__ = ('PlatformStandin', 'async_setup_platform')
 
-DEFAULT_LAG_MS: Final = 500
+DEFAULT_INSTANCE_LAG_MS: Final = 500
 MAX_EVENTS: Final = 1000
 ATTR_VERSION: Final = 'version'
 PROBE_TIMEOUT_MS: Final = 200
@@ -38,10 +38,12 @@
 
 
 class Switches(NamedTuple):
-    """Faults in force.
+    """Simulated faults.
 
-    :param delay_ms: from a call's effect to its answer, milliseconds.
-    :param lost_answers: how many of the next writes lose their answer.
+    :param is_down: whether calls are dropped without effect or response.
+    :param delay_ms: delay between the effect of a call and its response,
+        milliseconds.
+    :param lost_answers: number of subsequent writes whose response is lost.
     """
 
     is_down: bool = False
@@ -50,10 +52,10 @@
 
 
 class PlatformStandin:
-    """Objects, the event log that watches read, and the switches."""
+    """An object store with an event log for watches and simulated faults."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a store without objects or faults."""
         self.switches = Switches()
         self.calls: dict[str, int] = {}
         self.listed: dict[str, str] = {}
@@ -61,16 +63,16 @@
         self._revision = 0
         self._events: list[dict[str, Any]] = []
         self._changed = Event()
-        self._oldest = 0
+        self._oldest_revision = 0
 
-    async def async_answer(
+    async def async_handle(
         self,
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
-        """Answer one call, or fail it as the switches say."""
+        """Handle a request, or simulate a fault that the switches set."""
         if request.path.startswith('/standin/'):
-            await connection.async_respond(self._switch(request))
+            await connection.async_respond(self._handle_switches(request))
             return
         role = request.headers.get('hornbeamdeck-role', 'none')
         self.calls[role] = self.calls.get(role, 0) + 1
@@ -79,20 +81,25 @@
         response = await self._async_route(request)
         await sleep(self.switches.delay_ms / MILLIS_PER_SECOND)
         if request.method in {'PUT', 'DELETE'} and self.switches.lost_answers:
-            left = self.switches.lost_answers - 1
-            self.switches = self.switches._replace(lost_answers=left)
+            remaining = self.switches.lost_answers - 1
+            self.switches = self.switches._replace(lost_answers=remaining)
             return
         await connection.async_respond(response)
 
-    async def async_probe(self, lag_ms: int) -> None:
-        """List as live what accepts connections; the list so lags."""
+    async def async_probe_instances(self, lag_ms: int) -> None:
+        """Update the instance list every `lag_ms`.
+
+        An instance that accepts a connection is listed with the state from its
+        status object; an instance that doesn't is removed from the list. The
+        list lags because instances are probed only periodically.
+        """
         while True:
             await sleep(lag_ms / MILLIS_PER_SECOND)
             for key, stored in tuple(self._stored.items()):
                 if key.startswith(PREFIX_INSTANCE):
-                    await self._async_probe_one(json.loads(stored.body))
+                    await self._async_probe_instance(json.loads(stored.body))
 
-    async def _async_probe_one(self, status: dict[str, Any]) -> None:
+    async def _async_probe_instance(self, status: dict[str, Any]) -> None:
         address = status['address']
         connected = await async_connect(
             Address.from_text(address),
@@ -122,7 +129,7 @@
             return await self._async_put(key, request)
         return await self._async_delete(key, request)
 
-    def _switch(self, request: HttpRequest) -> HttpResponse:
+    def _handle_switches(self, request: HttpRequest) -> HttpResponse:
         body = json.loads(request.body or b'{}')
         if request.path == '/standin/switches':
             self.switches = self.switches._replace(**body)
@@ -148,15 +155,15 @@
         return {'revision': self._revision, 'found': found}
 
     async def _async_watch(self, query: str) -> HttpResponse:
-        asked = parse_qs(query)
-        prefix = asked['prefix'][0]
-        since = int(asked['since'][0])
-        if since < self._oldest:
+        query_fields = parse_qs(query)
+        prefix = query_fields['prefix'][0]
+        since = int(query_fields['since'][0])
+        if since < self._oldest_revision:
             return json_response(HTTPStatus.GONE, {})
         try:
             events = await async_within(
-                int(asked['timeout_ms'][0]),
-                self._async_events(prefix, since),
+                int(query_fields['timeout_ms'][0]),
+                self._async_wait_for_events(prefix, since),
             )
         except TaskTimeout:
             events = []
@@ -165,7 +172,7 @@
             {'revision': self._revision, 'events': events},
         )
 
-    async def _async_events(
+    async def _async_wait_for_events(
         self,
         prefix: str,
         since: int,
@@ -190,7 +197,7 @@
             {'key': key, ATTR_VERSION: stored.version, 'body': stored.body},
         )
 
-    def _holds(self, key: str, request: HttpRequest) -> bool:
+    def _meets_condition(self, key: str, request: HttpRequest) -> bool:
         stored = self._stored.get(key)
         if request.headers.get('if-none-match') == '*':
             return stored is None
@@ -202,13 +209,13 @@
     async def _async_put(self, key: str, request: HttpRequest) -> HttpResponse:
         if len(request.body) > MEBIBYTE:
             return json_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, {})
-        if not self._holds(key, request):
+        if not self._meets_condition(key, request):
             stored = self._stored.get(key)
             return json_response(
                 HTTPStatus.PRECONDITION_FAILED,
                 {ATTR_VERSION: stored and stored.version},
             )
-        version = await self._async_record(key, request.body.decode())
+        version = await self._async_append_event(key, request.body.decode())
         self._stored[key] = _Stored(version, request.body.decode())
         return json_response(HTTPStatus.OK, {ATTR_VERSION: version})
 
@@ -217,7 +224,7 @@
         key: str,
         request: HttpRequest,
     ) -> HttpResponse:
-        if not self._holds(key, request):
+        if not self._meets_condition(key, request):
             return json_response(
                 HTTPStatus.PRECONDITION_FAILED, {ATTR_VERSION: None}
             )
@@ -225,16 +232,16 @@
             return json_response(HTTPStatus.NOT_FOUND, {})
         return json_response(
             HTTPStatus.OK,
-            {ATTR_VERSION: await self._async_record(key, None)},
+            {ATTR_VERSION: await self._async_append_event(key, None)},
         )
 
-    async def _async_record(self, key: str, body: str | None) -> int:
+    async def _async_append_event(self, key: str, body: str | None) -> int:
         self._revision += 1
         self._events.append(
             {'key': key, ATTR_VERSION: self._revision, 'body': body},
         )
         if len(self._events) > MAX_EVENTS:
-            self._oldest = self._events.pop(0)[ATTR_VERSION]
+            self._oldest_revision = self._events.pop(0)[ATTR_VERSION]
         changed = self._changed
         self._changed = Event()
         await changed.set()
@@ -244,18 +251,22 @@
 async def async_setup_platform(
     address: Address,
     *,
-    lag_ms: int = DEFAULT_LAG_MS,
+    lag_ms: int = DEFAULT_INSTANCE_LAG_MS,
 ) -> tuple[PlatformStandin, Listener]:
-    """Start the stand-in.
+    """Start a platform that listens on an address.
 
-    :param lag_ms: how far the instance list lags, milliseconds.
+    :param lag_ms: update interval of the instance list, milliseconds. The
+        list lags by up to this time.
+    :returns: the platform and its listener.
     """
     platform = PlatformStandin()
-    listener = await async_setup_web(address, platform.async_answer)
-    probe: Task = await spawn(platform.async_probe, lag_ms, daemon=True)
+    listener = await async_setup_web(address, platform.async_handle)
+    probe_task: Task = await spawn(
+        platform.async_probe_instances, lag_ms, daemon=True
+    )
 
     async def _async_unload() -> None:
-        await probe.cancel()
+        await probe_task.cancel()
         await listener.async_unload()
 
     return platform, listener._replace(async_unload=_async_unload)
--- a/hornbeamdeck/standin/streams.py
+++ b/hornbeamdeck/standin/streams.py
@@ -1,4 +1,8 @@
-"""The engine stand-in's streams that outlive a connection."""
+"""Resumable streams of the engine stand-in.
+
+A stream continues after its connection is closed, so that the caller can
+resume it on another connection.
+"""
 
 import uuid
 from collections.abc import AsyncIterator
@@ -16,132 +20,134 @@
 
 __all__ = ('Streams',)
 
-GRACE_S: Final = 2.0
-PREFIX: Final = '/v1/streams/'
+RESUME_GRACE_S: Final = 2.0
+PATH_PREFIX: Final = '/v1/streams/'
 
 
 class _Stream:
-    """What one run has written, and who reads it."""
+    """The output of a run and the number of its readers."""
 
     def __init__(self, sequence: Sequence) -> None:
         self.sequence = sequence
         self.written = bytearray()
         self.is_done = False
         self.readers = 0
-        self.grown = Event()
-        self.pump: Task | None = None
+        self.output_added = Event()
+        self.collect_task: Task | None = None
 
 
 class Streams:
-    """All resumable streams of one engine."""
+    """The resumable streams of an engine."""
 
     def __init__(self, batch: Batch) -> None:
-        """Start without any."""
-        self.grace_s = GRACE_S
+        """Create an empty collection of streams."""
+        self.grace_s = RESUME_GRACE_S
         self._batch = batch
         self._streams: dict[str, _Stream] = {}
 
-    async def async_write_new(
+    async def async_start(
         self,
         sequence: Sequence,
         events: AsyncIterator[bytes],
         connection: ServerConnection,
     ) -> None:
-        """Write a run's events to its caller and keep them for a resume."""
-        name = uuid.uuid4().hex
+        """Send the events of a run and store them for a later resume."""
+        stream_id = uuid.uuid4().hex
         stream = _Stream(sequence)
-        self._streams[name] = stream
-        stream.pump = await spawn(_async_pump, stream, events, daemon=True)
-        await self._async_write(name, 0, connection)
+        self._streams[stream_id] = stream
+        stream.collect_task = await spawn(
+            _async_collect, stream, events, daemon=True
+        )
+        await self._async_send(stream_id, 0, connection)
 
-    async def async_answer(
+    async def async_handle(
         self,
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
-        """Resume a stream, or cancel it."""
-        name = request.path.removeprefix(PREFIX)
-        if name not in self._streams:
+        """Handle a request to resume or cancel a stream."""
+        stream_id = request.path.removeprefix(PATH_PREFIX)
+        if stream_id not in self._streams:
             await connection.async_respond(
                 json_response(HTTPStatus.NOT_FOUND, {}),
             )
             return
         if request.method == 'DELETE':
-            await self.async_forget(name)
+            await self.async_cancel(stream_id)
             await connection.async_respond(json_response(HTTPStatus.OK, {}))
             return
-        after = int(parse_qs(request.query)['after'][0])
-        await self._async_write(name, after, connection)
+        offset = int(parse_qs(request.query)['after'][0])
+        await self._async_send(stream_id, offset, connection)
 
-    async def async_forget(self, name: str) -> None:
-        """Cancel a run and drop what it has written."""
-        stream = self._streams.pop(name, None)
+    async def async_cancel(self, stream_id: str) -> None:
+        """Cancel a run and discard its output."""
+        stream = self._streams.pop(stream_id, None)
         if stream is None:
             return
         self._batch.cancel(stream.sequence)
-        if stream.pump is not None:
-            await stream.pump.cancel()
+        if stream.collect_task is not None:
+            await stream.collect_task.cancel()
 
-    async def async_forget_all(self) -> None:
-        """Lose everything, as a crash does."""
-        for name in tuple(self._streams):
-            await self.async_forget(name)
+    async def async_cancel_all(self) -> None:
+        """Cancel all runs and discard their output, as in a crash."""
+        for stream_id in tuple(self._streams):
+            await self.async_cancel(stream_id)
 
-    async def _async_write(
+    async def _async_send(
         self,
-        name: str,
-        after: int,
+        stream_id: str,
+        offset: int,
         connection: ServerConnection,
     ) -> None:
-        stream = self._streams[name]
+        stream = self._streams[stream_id]
         stream.readers += 1
         try:
-            await _async_copy(name, stream, after, connection)
+            await _async_send_events(stream_id, stream, offset, connection)
         finally:
             stream.readers -= 1
-            await spawn(self._async_reap, name, daemon=True)
+            await spawn(self._async_cancel_unread, stream_id, daemon=True)
 
-    async def _async_reap(self, name: str) -> None:
-        stream = self._streams.get(name)
+    async def _async_cancel_unread(self, stream_id: str) -> None:
+        stream = self._streams.get(stream_id)
         if stream is None:
             return
         await sleep(self.grace_s)
         if not stream.readers:
-            await self.async_forget(name)
+            await self.async_cancel(stream_id)
 
 
-async def _async_pump(
+async def _async_collect(
     stream: _Stream,
     events: AsyncIterator[bytes],
 ) -> None:
     async for encoded in events:
         stream.written += encoded
-        await _async_wake(stream)
+        await _async_notify_readers(stream)
     stream.is_done = True
-    await _async_wake(stream)
+    await _async_notify_readers(stream)
 
 
-async def _async_wake(stream: _Stream) -> None:
-    grown = stream.grown
-    stream.grown = Event()
-    await grown.set()
+async def _async_notify_readers(stream: _Stream) -> None:
+    output_added = stream.output_added
+    stream.output_added = Event()
+    await output_added.set()
 
 
-async def _async_copy(
-    name: str,
+async def _async_send_events(
+    stream_id: str,
     stream: _Stream,
-    after: int,
+    offset: int,
     connection: ServerConnection,
 ) -> None:
-    headers = {'content-type': 'text/event-stream', HEADER_STREAM: name}
+    headers = {'content-type': 'text/event-stream', HEADER_STREAM: stream_id}
     await connection.async_start(HTTPStatus.OK, headers)
     while True:
-        fresh = bytes(stream.written[after:])
-        after += len(fresh)
-        if fresh:
-            await connection.async_send(fresh)
+        unsent = bytes(stream.written[offset:])
+        offset += len(unsent)
+        if unsent:
+            await connection.async_send(unsent)
         elif stream.is_done:
             await connection.async_end()
             return
         else:
-            await stream.grown.wait()
+            await stream.output_added.wait()
--- a/hornbeamdeck/standin/web.py
+++ b/hornbeamdeck/standin/web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a JSON service on one address."""
+"""HTTP server with JSON responses, shared by the stand-ins."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -14,37 +14,43 @@
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import ENCODING
 
-__all__ = ('Route', 'async_setup_web', 'json_response', 'plain_answer')
+__all__ = ('Route', 'async_setup_web', 'json_response', 'make_handler')
 
 Route: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 def json_response(status: int, body: Any) -> HttpResponse:
-    """Write a JSON response."""
+    """Build a JSON response."""
     headers = {'content-type': 'application/json'}
     return HttpResponse(status, headers, json.dumps(body).encode(ENCODING))
 
 
-def plain_answer(route: Route) -> Answer:
-    """Make an answer of a function that gives whole responses."""
+def make_handler(route: Route) -> Answer:
+    """Build a request handler from a function that returns a response."""
 
-    async def _async_answer(
+    async def _async_handle(
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
         await connection.async_respond(await route(request))
 
-    return _async_answer
+    return _async_handle
 
 
-async def async_setup_web(address: Address, answer: Answer) -> Listener:
-    """Serve on an address; the listener's unload ends it."""
+async def async_setup_web(
+    address: Address, request_handler: Answer
+) -> Listener:
+    """Serve requests on an address.
+
+    :param request_handler: writes the response to each request.
+    :returns: the listener; unloading it stops the server.
+    """
 
     async def _async_serve(sock: socket.socket) -> None:
-        await async_serve_requests(sock, answer, _refusal)
+        await async_serve_requests(sock, request_handler, _bad_request_response)
 
     return await async_setup_listener(address, _async_serve)
 
 
-def _refusal(bad: BadRequest) -> HttpResponse:
+def _bad_request_response(bad: BadRequest) -> HttpResponse:
     return json_response(bad.status, {'error': bad.detail})
--- a/tests/standin/__init__.py
+++ b/tests/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins: that they fail as real ones do."""
+"""Tests of the stand-ins: they have the faults of the real services."""
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -1,59 +1,62 @@
-"""What the engine stand-in shares with a real engine."""
+"""Tests that the engine stand-in behaves like a real engine."""
 
 from unittest import mock
 
 import curio
 import pytest
 
-from hornbeamdeck.standin import cache as module
+from hornbeamdeck.standin import cache as cache_module
 from hornbeamdeck.standin.batch import Batch, EngineModel, Sequence
-from hornbeamdeck.standin.cache import BLOCK_CHARS, LAG_MS, PrefixCache
+from hornbeamdeck.standin.cache import BLOCK_CHARS, EVENT_LAG_MS, PrefixCache
 
 
-def test_common_prefix_is_found_and_forgotten() -> None:
+def test_common_prefix_is_cached_until_evicted() -> None:
     cache = PrefixCache(max_blocks=4)
     common = 'a' * BLOCK_CHARS * 2
-    assert cache.take(f'{common}x') == 0
-    assert cache.take(f'{common}y') == BLOCK_CHARS * 2
-    cache.take('b' * BLOCK_CHARS * 8)
-    assert cache.take(f'{common}z') == 0
+    assert cache.store_prompt(f'{common}x') == 0
+    assert cache.store_prompt(f'{common}y') == BLOCK_CHARS * 2
+    cache.store_prompt('b' * BLOCK_CHARS * 8)
+    assert cache.store_prompt(f'{common}z') == 0
 
 
 def test_cache_events_are_late_and_have_gaps() -> None:
-    """Engines tell of their caches late, and lose an event now and then. A
-    scheduler that believed them would send prompts after prefixes that are
-    gone.
+    """Engines publish cache events late and lose some of them. A scheduler that
+    relied on the events would route prompts to engines that have already
+    evicted the prefix.
     """
     clock = [0.0]
-    with mock.patch.object(module, 'now_ms', lambda: clock[0]):
+    with mock.patch.object(cache_module, 'now_ms', lambda: clock[0]):
         cache = PrefixCache(max_blocks=100)
-        cache.take('c' * BLOCK_CHARS * 30)
+        cache.store_prompt('c' * BLOCK_CHARS * 30)
         assert cache.events(0) == []
-        clock[0] = LAG_MS
+        clock[0] = EVENT_LAG_MS
         numbers = [event.sequence for event in cache.events(0)]
     assert numbers == sorted(numbers)
     assert len(numbers) < numbers[-1]
 
 
 @pytest.mark.parametrize('speed', [1.0, 0.5])
-def test_steps_last_longer_with_more_to_do(speed: float) -> None:
-    """Time between tokens grows with the batch and time to first token with
-    the prompts queued, or no policy would be better than any other.
+def test_step_duration_grows_with_load(speed: float) -> None:
+    """The time between tokens grows with the batch and the time to first token
+    with the queued prompts. Otherwise all scheduling policies would perform
+    the same.
     """
-    waits: list[float] = []
+    durations_s: list[float] = []
 
-    async def _async_note(seconds: float) -> None:
-        waits.append(seconds)
+    async def _async_record_sleep(seconds: float) -> None:
+        durations_s.append(seconds)
 
     async def _async_steps() -> None:
         batch = Batch(EngineModel(speed=speed))
-        with mock.patch('hornbeamdeck.standin.batch.sleep', _async_note):
+        with mock.patch(
+            'hornbeamdeck.standin.batch.sleep', _async_record_sleep
+        ):
             for tokens in (1, 1, 400):
                 sequence = Sequence(prompt_tokens=tokens, output_tokens=9)
                 await batch.async_admit(sequence)
                 await batch._async_step()
 
     curio.run(_async_steps)
-    assert waits == sorted(waits)
-    assert waits[0] < waits[-1]
-    assert waits[0] >= 0.008 / speed
+    assert durations_s == sorted(durations_s)
+    assert durations_s[0] < durations_s[-1]
+    assert durations_s[0] >= 0.008 / speed
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -26,7 +26,7 @@
     records: list[CallRecord]
     runs: Counter[str]
     booked: dict[str, int]
-    most_running: int
+    peak_running: int
 
 
 def _load(name: str) -> list[TraceEntry]:
@@ -58,7 +58,7 @@
     await replay.join()
     runs = fleet.runs_by_request()
     await fleet.async_stop()
-    most = max(each.batch.most_running for each in fleet.engines)
+    most = max(each.batch.peak_running for each in fleet.engines)
     return Seen(records, runs, dict(fleet.booking.runs), most)
 
 
@@ -150,7 +150,7 @@
     ),
 )
 def _limit(seen: Seen, most: int) -> None:
-    assert 0 < seen.most_running <= most
+    assert 0 < seen.peak_running <= most
 
 
 @then('no answer was wrong, cut and ended cleanly')
