--- a/hornbeamdeck/cli.py
+++ b/hornbeamdeck/cli.py
@@ -51,13 +51,13 @@
 
 
 def check_settings(path: str) -> None:
-    """Check a settings file, of an instance or of a front process.
+    """Check the settings file of an instance or of a front process.
 
     Example: hornbeamdeck check-settings instance.json
 
     :param path: path of the settings file (JSON).
     """
-    checked = load_checked(path, _settings_of)
+    checked = load_checked(path, _parse_settings)
     if isinstance(checked, Err):
         for error in checked.err_value:
             print(error, file=sys.stderr)
@@ -65,39 +65,39 @@
     print(f'{path}: {checked.ok_value.instance_id}: no errors')
 
 
-def _settings_of(raw: dict[str, Any]) -> Settings | FrontSettings:
+def _parse_settings(raw: dict[str, Any]) -> Settings | FrontSettings:
     if 'entries_address' in raw:
         return FrontSettings.from_config(raw)
     return Settings.from_config(raw)
 
 
 def demo(json: bool = False) -> None:
-    """Replay two recorded traces on an embedded fleet and check outcomes.
+    """Replay two recorded traces on an embedded fleet and check the outcomes.
 
     Example: hornbeamdeck demo --json
 
-    :param json: print one JSON object alone.
+    :param json: print only one JSON object.
     """
     setup_logs(level='error', instance_id='demo')
-    say = _silent if json else _say
-    report = curio.run(async_demo, say)
+    print_line = _print_nothing if json else _print_line
+    report = curio.run(async_demo, print_line)
     if json:
         print(report.to_json())
     for failure in report.failed:
         print(f'failed: {failure}', file=sys.stderr)
     if report.failed:
         sys.exit(EXIT_FAILED)
-    say('every stated outcome was met')
+    print_line('every stated outcome was met')
 
 
 def standin(kind: str, address: str = '127.0.0.1:0', speed: float = 1) -> None:
-    """Run a stand-in of what surrounds the system, for trials.
+    """Run a simulated platform, engine or booking service for trials.
 
     Example: hornbeamdeck standin engine --speed 0.5
 
     :param kind: platform, engine or booking.
-    :param address: ip:port to listen on; port 0 lets the system choose.
-    :param speed: an engine's speed factor.
+    :param address: ip:port to listen on; with port 0 the OS assigns a port.
+    :param speed: speed factor of an engine.
     """
     setup_logs(level='info', instance_id=f'standin-{kind}')
     started = curio.run(async_run_standin, kind, address, float(speed))
@@ -111,30 +111,30 @@
     request_id: str = '',
     json: bool = False,
 ) -> None:
-    """Explain from log lines what became of requests, and why.
+    """Explain the outcomes of requests and their causes from log lines.
 
     Example: hornbeamdeck explain fleet.log --request-id 5320b20f59ea9d22
 
-    :param log: path of a file with the lines of all instances; - reads
+    :param log: path of a file with the log lines of all instances; - reads
         standard input.
-    :param request_id: print the way of this request alone.
-    :param json: print one JSON object alone.
+    :param request_id: print only the events of this request.
+    :param json: print only one JSON object.
     """
     logs = _read_log(log)
     if request_id:
-        way = logs.by_request.get(str(request_id))
-        if way is None:
+        request_lines = logs.by_request.get(str(request_id))
+        if request_lines is None:
             print(f'{log}: no line of {request_id}', file=sys.stderr)
             sys.exit(EXIT_FAILED)
-        shown: Iterable[str] = describe_way(way)
+        output: Iterable[str] = describe_way(request_lines)
         if json:
-            shown = [json_codec.dumps(way)]
+            output = [json_codec.dumps(request_lines)]
     else:
         report = make_report(logs, explain_all(logs))
-        shown = report.to_text()
+        output = report.to_text()
         if json:
-            shown = [json_codec.dumps(report.to_dict())]
-    for line in shown:
+            output = [json_codec.dumps(report.to_dict())]
+    for line in output:
         print(line)
 
 
@@ -149,16 +149,16 @@
         sys.exit(EXIT_USAGE)
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     print(line, flush=True)
 
 
-def _silent(_line: str) -> None:
-    """Print nothing."""
+def _print_nothing(_line: str) -> None:
+    """Discard a line."""
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given by the command line arguments."""
     fire.Fire(
         {
             'serve': serve,
--- a/hornbeamdeck/demo/__init__.py
+++ b/hornbeamdeck/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The main job on embedded stand-ins, and the parts benches share with it."""
+"""Demo on embedded stand-ins, and code that the benches share with it."""
--- a/hornbeamdeck/demo/caller.py
+++ b/hornbeamdeck/demo/caller.py
@@ -1,4 +1,4 @@
-"""A caller that notes what became of each of its calls."""
+"""Sends the calls of a trace and records their results."""
 
 import json
 from http import HTTPStatus
@@ -26,17 +26,21 @@
 __all__ = ('CallRecord', 'async_call')
 
 CONNECT_TIMEOUT_MS: Final = 2000
-GRACE_MS: Final = 500
+DEADLINE_GRACE_MS: Final = 500
 STATUS_BROKEN: Final = 0
 
 
 class CallRecord(NamedTuple):
-    """What became of one call.
-
-    :param status: 0 where the connection broke or the caller gave up.
-    :param is_whole: the answer is exactly the one expected.
-    :param first_token_ms: since the call began; 0 where none came.
-    :param retry_after_s: when a refusal says to come back; 0 where it doesn't.
+    """The result of a call.
+
+    :param status: HTTP status; 0 if the connection broke or the client timeout
+        passed.
+    :param code: the `code` header, or why no response was received.
+    :param is_whole: whether the response is exactly the expected one.
+    :param first_token_ms: milliseconds from the start of the call to the first
+        token; 0 if none was received.
+    :param total_ms: duration of the call, milliseconds.
+    :param retry_after_s: value of the `retry-after` header; 0 without one.
     """
 
     entry: TraceEntry
@@ -50,17 +54,17 @@
     retry_after_s: int
 
     @property
-    def in_time(self) -> bool:
-        """Whether the whole answer came by the deadline."""
+    def is_in_time(self) -> bool:
+        """Whether the complete response was received by the deadline."""
         return self.is_whole and self.total_ms <= self.entry.deadline_ms
 
 
-class _Answer(NamedTuple):
+class _Response(NamedTuple):
     status: int
     headers: Headers
     body: bytes
-    first_ms: float
-    is_ended: bool
+    first_byte_ms: float
+    has_ended: bool
 
 
 async def async_call(
@@ -68,62 +72,69 @@
     number: int,
     address: Address,
 ) -> CallRecord:
-    """Make one call and give up a little after its deadline."""
+    """Send a call; time out `DEADLINE_GRACE_MS` after its deadline.
+
+    :param number: number of the entry in its trace.
+    """
     begin_ms = now_ms()
     try:
-        answer = await async_within(
-            entry.deadline_ms + GRACE_MS,
+        response = await async_within(
+            entry.deadline_ms + DEADLINE_GRACE_MS,
             _async_exchange(_request(entry, number), address),
         )
     except TaskTimeout:
-        answer = _broken('gave up')
-    return _to_record(entry, number, answer, begin_ms)
+        response = _failed_response('client timeout')
+    return _to_record(entry, number, response, begin_ms)
 
 
-async def _async_exchange(request: HttpRequest, address: Address) -> _Answer:
+async def _async_exchange(request: HttpRequest, address: Address) -> _Response:
     opened = await ClientConnection.async_open(
         address,
         timeout_ms=CONNECT_TIMEOUT_MS,
     )
     if isinstance(opened, Err):
-        return _broken('connect failed')
+        return _failed_response('connect failed')
     try:
-        return await _async_ask(opened.ok_value, request)
+        return await _async_send_request(opened.ok_value, request)
     finally:
         await opened.ok_value.async_close()
 
 
-async def _async_ask(
+async def _async_send_request(
     connection: ClientConnection,
     request: HttpRequest,
-) -> _Answer:
+) -> _Response:
     sent = await connection.async_send(request)
     if isinstance(sent, Err):
-        return _broken('send failed')
+        return _failed_response('send failed')
     head = await connection.async_read_head()
     if isinstance(head, Err):
-        return _broken('no head')
-    return await _async_read(connection, head.ok_value)
+        return _failed_response('no response head')
+    return await _async_read_body(connection, head.ok_value)
 
 
-async def _async_read(
+async def _async_read_body(
     connection: ClientConnection,
     head: HttpResponse,
-) -> _Answer:
+) -> _Response:
     body = b''
-    first_ms = 0.0
+    first_byte_ms = 0.0
     while True:
         piece = await connection.async_read_piece()
         if isinstance(piece, Err):
-            return _Answer(head.status, head.headers, body, first_ms, False)
+            return _Response(
+                head.status, head.headers, body, first_byte_ms, False
+            )
         if not piece.ok_value:
-            return _Answer(head.status, head.headers, body, first_ms, True)
-        first_ms = first_ms or now_ms()
+            return _Response(
+                head.status, head.headers, body, first_byte_ms, True
+            )
+        first_byte_ms = first_byte_ms or now_ms()
         body += piece.ok_value
 
 
-def _broken(code: str) -> _Answer:
-    return _Answer(STATUS_BROKEN, {'code': code}, b'', 0, False)
+def _failed_response(code: str) -> _Response:
+    return _Response(STATUS_BROKEN, {'code': code}, b'', 0, False)
 
 
 def _request(entry: TraceEntry, number: int) -> HttpRequest:
@@ -157,40 +168,42 @@
 def _to_record(
     entry: TraceEntry,
     number: int,
-    answer: _Answer,
+    response: _Response,
     begin_ms: float,
 ) -> CallRecord:
-    is_good = answer.is_ended and answer.status in {
+    is_success = response.has_ended and response.status in {
         HTTPStatus.OK,
         HTTPStatus.CREATED,
     }
     return CallRecord(
         entry=entry,
-        status=answer.status if answer.is_ended else STATUS_BROKEN,
-        outcome=_outcome(answer),
-        code=answer.headers.get('code', ''),
-        request_id=answer.headers.get(HEADER_REQUEST_ID, ''),
-        is_whole=is_good and _is_whole(entry, number, answer),
-        first_token_ms=answer.first_ms - begin_ms if answer.first_ms else 0,
+        status=response.status if response.has_ended else STATUS_BROKEN,
+        outcome=_outcome(response),
+        code=response.headers.get('code', ''),
+        request_id=response.headers.get(HEADER_REQUEST_ID, ''),
+        is_whole=is_success and _is_complete(entry, number, response),
+        first_token_ms=response.first_byte_ms - begin_ms
+        if response.first_byte_ms
+        else 0,
         total_ms=now_ms() - begin_ms,
-        retry_after_s=int(answer.headers.get('retry-after', 0)),
+        retry_after_s=int(response.headers.get('retry-after', 0)),
     )
 
 
-def _outcome(answer: _Answer) -> str:
-    if answer.is_ended:
-        return answer.headers.get(HEADER_OUTCOME, 'none')
+def _outcome(response: _Response) -> str:
+    if response.has_ended:
+        return response.headers.get(HEADER_OUTCOME, 'none')
     return 'unknown'
 
 
-def _is_whole(entry: TraceEntry, number: int, answer: _Answer) -> bool:
+def _is_complete(entry: TraceEntry, number: int, response: _Response) -> bool:
     if entry.path:
-        return entry.idempotency_key in answer.body.decode(ENCODING)
+        return entry.idempotency_key in response.body.decode(ENCODING)
     expected = expected_answer(entry.prompt(number), entry.output_tokens)
     if not entry.is_stream:
-        whole = json.loads(answer.body)
-        return bool(whole['choices'][0]['message']['content'] == expected)
-    events = answer.body.decode(ENCODING).split('\n\n')
+        parsed = json.loads(response.body)
+        return bool(parsed['choices'][0]['message']['content'] == expected)
+    events = response.body.decode(ENCODING).split('\n\n')
     pieces = [
         json.loads(event.removeprefix('data: '))
         for event in events
--- a/hornbeamdeck/demo/document.py
+++ b/hornbeamdeck/demo/document.py
@@ -1,4 +1,4 @@
-"""The configuration document of the demo and of the benches."""
+"""Configuration document of the demo and the benches."""
 
 import hashlib
 from collections.abc import Iterable
@@ -29,10 +29,10 @@
     KIND_PLAIN,
 )
 
-__all__ = ('DESK', 'COUNTER', 'make_document', 'team_key')
+__all__ = ('MODEL_SERVICE', 'BOOKING_SERVICE', 'make_document', 'team_key')
 
-DESK: Final = 'desk'
-COUNTER: Final = 'counter'
+MODEL_SERVICE: Final = 'desk'
+BOOKING_SERVICE: Final = 'counter'
 TIERS: Final = ('urgent', 'standard', 'long')
 TEAMS: Final = (
     'guides',
@@ -45,16 +45,22 @@
 
 def make_document(
     engines: Iterable[Address],
-    counters: Iterable[Address],
+    booking_services: Iterable[Address],
     *,
     max_running: int,
     max_prompt_tokens: int,
 ) -> dict[str, Any]:
-    """Write a document for these upstreams."""
+    """Build a configuration document with the given upstreams.
+
+    :param engines: addresses of the upstreams of the model service.
+    :param booking_services: addresses of the upstreams of the booking service.
+    :param max_running: limit of concurrent requests of each engine.
+    :param max_prompt_tokens: prompt token limit of each engine.
+    """
     upstreams = [
         {
             CONF_NAME: f'engine-{number}',
-            CONF_SERVICE: DESK,
+            CONF_SERVICE: MODEL_SERVICE,
             CONF_ADDRESS: str(address),
             CONF_AVAILABILITY_ZONE: f'zone-{number % 3}',
             CONF_MAX_RUNNING: max_running,
@@ -65,11 +71,11 @@
     upstreams += [
         {
             CONF_NAME: f'counter-{number}',
-            CONF_SERVICE: COUNTER,
+            CONF_SERVICE: BOOKING_SERVICE,
             CONF_ADDRESS: str(address),
             CONF_AVAILABILITY_ZONE: f'zone-{number % 3}',
         }
-        for number, address in enumerate(counters)
+        for number, address in enumerate(booking_services)
     ]
     return {
         CONF_FORMAT: FORMAT_VERSION,
@@ -78,9 +84,9 @@
             for rank, name in enumerate(TIERS)
         ],
         CONF_SERVICES: [
-            {CONF_NAME: DESK, CONF_KIND: KIND_MODEL},
+            {CONF_NAME: MODEL_SERVICE, CONF_KIND: KIND_MODEL},
             {
-                CONF_NAME: COUNTER,
+                CONF_NAME: BOOKING_SERVICE,
                 CONF_KIND: KIND_PLAIN,
                 CONF_NON_IDEMPOTENT: [
                     {CONF_METHOD: 'POST', CONF_PATH_PREFIX: '/bookings'},
@@ -93,7 +99,7 @@
 
 
 def team_key(team: str) -> str:
-    """Make up the bearer key of a team of the demo."""
+    """Return the bearer key of a demo team."""
     return f'key-of-{team}'
 
 
@@ -103,5 +109,5 @@
         CONF_NAME: name,
         CONF_KEY_SHA256: digest,
         CONF_TIERS: list(TIERS),
-        CONF_SERVICES: [DESK, COUNTER],
+        CONF_SERVICES: [MODEL_SERVICE, BOOKING_SERVICE],
     }
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -1,4 +1,4 @@
-"""Instances and stand-ins in one process, on ports from the system."""
+"""Instances and stand-ins in one process, on ports that the OS assigns."""
 
 import json
 from collections import Counter
@@ -25,15 +25,16 @@
 __all__ = ('ANY_PORT', 'Fleet', 'FleetPlan')
 
 ANY_PORT: Final = Address('127.0.0.1', 0)
-SECRET: Final = 'demo-fleet-secret'
+FLEET_SECRET: Final = 'demo-fleet-secret'
 OPERATOR_TOKEN: Final = 'demo-operator-token'
 READY_POLL_S: Final = 0.02
 
 
 class FleetPlan(NamedTuple):
-    """What to start.
+    """Size and settings of a fleet.
 
-    :param speeds: one engine for each, by its speed factor.
+    :param instances: number of instances.
+    :param speeds: speed factors; one engine is started for each.
     """
 
     instances: int = 3
@@ -45,7 +46,7 @@
 
 
 class Fleet(NamedTuple):
-    """Everything that runs, for replays and for tests to reach into."""
+    """A running fleet; replays and tests access its parts directly."""
 
     platform: PlatformStandin
     platform_address: Address
@@ -57,9 +58,9 @@
 
     @classmethod
     async def async_start(cls, plan: FleetPlan) -> Self:
-        """Start all and wait until each instance knows all others."""
+        """Start a fleet and wait until all its instances are ready."""
         platform, listener = await async_setup_platform(ANY_PORT)
-        booking, counter = await async_setup_booking(ANY_PORT)
+        booking, booking_listener = await async_setup_booking(ANY_PORT)
         engines = [
             await async_setup_engine(ANY_PORT, EngineModel(speed=speed))
             for speed in plan.speeds
@@ -70,18 +71,22 @@
             engines=tuple(engine for engine, _ in engines),
             booking=booking,
             instances=[],
-            listeners=[*(each for _, each in engines), counter, listener],
+            listeners=[
+                *(each for _, each in engines),
+                booking_listener,
+                listener,
+            ],
             plan=plan,
         )
         await fleet.async_configure(
             [each.address for _, each in engines],
-            counter.address,
+            booking_listener.address,
         )
         await fleet.async_add_instances()
         return fleet
 
     async def async_add_instances(self) -> None:
-        """Start the planned instances and wait until each knows all."""
+        """Start the planned instances and wait until all are ready."""
         for number in range(self.plan.instances):
             await self.async_add_instance(f'instance-{number}')
         await self.async_wait_ready()
@@ -89,22 +94,29 @@
     async def async_configure(
         self,
         engines: list[Address],
-        counter: Address,
+        booking_address: Address,
     ) -> None:
-        """Put the document that names these upstreams in the platform."""
+        """Store a configuration document with the given upstreams.
+
+        :param engines: addresses of the engines.
+        :param booking_address: address of the booking service.
+        """
         document = make_document(
             engines,
-            [counter],
+            [booking_address],
             max_running=self.plan.max_running,
             max_prompt_tokens=self.plan.max_prompt_tokens,
         )
         await self.async_put_document(json.dumps(document))
 
     async def async_put_document(self, document: str) -> None:
-        """Put a configuration document in the platform."""
+        """Store a configuration document in the platform.
+
+        :raises RuntimeError: if the document was not written.
+        """
         client = PlatformClient(self.platform_address)
-        before = await client.async_get(KEY_CONFIGURATION, role='demo')
-        stored = before.unwrap()
+        current = await client.async_get(KEY_CONFIGURATION, role='demo')
+        stored = current.unwrap()
         written = await client.async_put(
             KEY_CONFIGURATION,
             document,
@@ -113,7 +125,9 @@
         )
         await client.async_close()
         if isinstance(written, Err):
-            raise RuntimeError(f'document not written: {written.err_value}')
+            raise RuntimeError(
+                f'configuration document not written: {written.err_value}'
+            )
 
     async def async_add_instance(
         self,
@@ -121,7 +135,11 @@
         *,
         seed_peers: tuple[Address, ...] = (),
     ) -> Instance:
-        """Start one more instance."""
+        """Start an instance and add it to the fleet.
+
+        :param seed_peers: peers that the instance requests a snapshot from
+            while the platform is down.
+        """
         settings = Settings.from_config(
             {
                 'instance_id': instance_id,
@@ -129,7 +147,7 @@
                 'address': str(ANY_PORT),
                 'peer_address': str(ANY_PORT),
                 'platform_address': str(self.platform_address),
-                'fleet_secret': SECRET,
+                'fleet_secret': FLEET_SECRET,
                 'operator_token': OPERATOR_TOKEN,
                 'policy': self.plan.policy,
                 'seed_peers': [str(each) for each in seed_peers],
@@ -141,25 +159,29 @@
         return instance
 
     async def async_wait_ready(self) -> None:
-        """Wait until all instances have the document and know each other."""
+        """Wait until all instances are ready.
+
+        An instance is ready when it has the configuration document and lists
+        all instances of the fleet as live.
+        """
         while not all(map(self._is_ready, self.instances)):
             await sleep(READY_POLL_S)
 
     def runs_by_request(self) -> Counter[str]:
-        """Count the runs of each request over all engines."""
+        """Count the runs of each request on all engines."""
         runs: Counter[str] = Counter()
         for engine in self.engines:
             runs.update(engine.batch.records.runs)
         return runs
 
     def owner_of(self, cell: str) -> Instance:
-        """Find the instance that owns a cell, as the first one sees it."""
+        """Return the owner of a cell according to the first instance."""
         membership = self.instances[0].parts.membership
         owner = membership.owner_of(cell)
         return next(each for each in self.instances if _id_of(each) == owner)
 
     async def async_stop(self) -> None:
-        """Close everything."""
+        """Stop all instances and stand-ins."""
         for instance in self.instances:
             await instance.async_kill()
         for listener in self.listeners:
@@ -167,8 +189,8 @@
 
     def _is_ready(self, instance: Instance) -> bool:
         parts = instance.parts
-        knows_all = len(parts.membership.live()) == len(self.instances)
-        return knows_all and bool(parts.follower.configuration.version)
+        sees_all = len(parts.membership.live()) == len(self.instances)
+        return sees_all and bool(parts.follower.configuration.version)
 
 
 def _id_of(instance: Instance) -> str:
--- a/hornbeamdeck/demo/replay.py
+++ b/hornbeamdeck/demo/replay.py
@@ -1,4 +1,4 @@
-"""Replays a trace against some addresses."""
+"""Replays a trace against a list of addresses."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeAlias
@@ -21,10 +21,13 @@
     addresses: Sequence[Address],
     on_record: OnRecord,
 ) -> None:
-    """Make each call at its time, spread over the addresses."""
+    """Send each call at its time in the trace, round robin over addresses.
+
+    :param on_record: called with the result of each call.
+    """
     begin_ms = now_ms()
 
-    async def _async_one(number: int, entry: TraceEntry) -> None:
+    async def _async_send_entry(number: int, entry: TraceEntry) -> None:
         address = addresses[number % len(addresses)]
         on_record(await async_call(entry, number, address))
 
@@ -32,4 +35,4 @@
         for number, entry in enumerate(trace):
             wait_ms = begin_ms + entry.at_ms - now_ms()
             await sleep(max(wait_ms, 0) / MILLIS_PER_SECOND)
-            await calls.spawn(_async_one, number, entry)
+            await calls.spawn(_async_send_entry, number, entry)
--- a/hornbeamdeck/demo/report.py
+++ b/hornbeamdeck/demo/report.py
@@ -1,4 +1,4 @@
-"""Tables by tier, and the outcomes that a replay must show."""
+"""Result tables by tier and checks of the outcomes of a replay."""
 
 import math
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -18,11 +18,11 @@
 P50: Final = 0.5
 P95: Final = 0.95
 TOP_TIER: Final = 'urgent'
-TOP_TIER_IN_TIME: Final = 0.95
+MIN_IN_TIME_SHARE: Final = 0.95
 
 
 class TierRow(NamedTuple):
-    """What became of one tier's calls; times in milliseconds."""
+    """Results of the calls of a tier; times in milliseconds."""
 
     tier: str
     asked: int
@@ -36,16 +36,16 @@
 
 
 def tier_rows(records: Sequence[CallRecord]) -> list[TierRow]:
-    """Count by tier, in the order in which the tiers first come."""
+    """Count the results by tier, sorted by tier name."""
     tiers = dict.fromkeys(record.entry.tier for record in records)
     return [
-        _row(tier, [each for each in records if each.entry.tier == tier])
+        _tier_row(tier, [each for each in records if each.entry.tier == tier])
         for tier in sorted(tiers)
     ]
 
 
 def format_table(rows: Iterable[TierRow]) -> str:
-    """Write rows as a table."""
+    """Format rows as a text table."""
     titles = [name.replace('_ms', ' ms') for name in TierRow._fields]
     lines = [[title.replace('_', ' ') for title in titles]]
     for row in rows:
@@ -68,54 +68,61 @@
     runs_by_request: Mapping[str, int],
     runs_by_key: Mapping[str, int],
 ) -> list[str]:
-    """Name the stated outcomes that a replay did not meet.
+    """Describe the stated outcomes that a replay did not meet.
 
-    :param runs_by_request: counted by the engines, by request id.
-    :param runs_by_key: counted by the booking service.
+    :param runs_by_request: runs by request id, as counted by the engines.
+    :param runs_by_key: runs by idempotency key, as counted by the booking
+        service.
+    :returns: one line for each failure; empty if all outcomes were met.
     """
     return [
-        *_run_twice(runs_by_request, 'request'),
-        *_run_twice(runs_by_key, 'idempotency key'),
-        *_wrong_words(records, runs_by_request),
-        *_cut_answers(records),
-        *_late_top_tier(records),
+        *_repeated_runs(runs_by_request, 'request'),
+        *_repeated_runs(runs_by_key, 'idempotency key'),
+        *_false_not_run(records, runs_by_request),
+        *_wrong_responses(records),
+        *_late_top_tier_calls(records),
     ]
 
 
-def _row(tier: str, records: Sequence[CallRecord]) -> TierRow:
-    first = sorted(
+def _tier_row(tier: str, records: Sequence[CallRecord]) -> TierRow:
+    first_token_times_ms = sorted(
         record.first_token_ms for record in records if record.is_whole
     )
     return TierRow(
         tier=tier,
         asked=len(records),
         whole=sum(record.is_whole for record in records),
-        in_time=sum(record.in_time for record in records),
+        in_time=sum(record.is_in_time for record in records),
         shed=sum(
             record.status == HTTPStatus.SERVICE_UNAVAILABLE
             for record in records
         ),
         not_run=sum(record.outcome == 'not_run' for record in records),
         unknown=sum(record.outcome == 'unknown' for record in records),
-        p50_first_token_ms=percentile(first, P50),
-        p95_first_token_ms=percentile(first, P95),
+        p50_first_token_ms=percentile(first_token_times_ms, P50),
+        p95_first_token_ms=percentile(first_token_times_ms, P95),
     )
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Pick the nearest-rank percentile of sorted numbers; 0 of none."""
+    """Return the nearest-rank percentile of numbers.
+
+    :param ordered: the numbers in ascending order.
+    :param share: the percentile as a fraction.
+    :returns: 0 for an empty sequence.
+    """
     if not ordered:
         return 0.0
     return float(ordered[max(math.ceil(share * len(ordered)) - 1, 0)])
 
 
-def _run_twice(runs: Mapping[str, int], kind: str) -> Iterator[str]:
+def _repeated_runs(runs: Mapping[str, int], kind: str) -> Iterator[str]:
     for name, count in runs.items():
         if count > 1:
             yield f'{kind} {name} ran {count} times'
 
 
-def _wrong_words(
+def _false_not_run(
     records: Iterable[CallRecord],
     runs_by_request: Mapping[str, int],
 ) -> Iterator[str]:
@@ -124,14 +131,14 @@
             yield f'request {record.request_id} was said not to run, and ran'
 
 
-def _cut_answers(records: Iterable[CallRecord]) -> Iterator[str]:
+def _wrong_responses(records: Iterable[CallRecord]) -> Iterator[str]:
     for record in records:
         if record.outcome == 'ran' and not record.is_whole:
             yield f'request {record.request_id} got a wrong or cut answer'
 
 
-def _late_top_tier(records: Sequence[CallRecord]) -> Iterator[str]:
-    top = [each for each in records if each.entry.tier == TOP_TIER]
-    in_time = sum(each.in_time for each in top)
-    if in_time < TOP_TIER_IN_TIME * len(top):
-        yield f'of {len(top)} {TOP_TIER} calls only {in_time} came in time'
+def _late_top_tier_calls(records: Sequence[CallRecord]) -> Iterator[str]:
+    calls = [each for each in records if each.entry.tier == TOP_TIER]
+    in_time = sum(each.is_in_time for each in calls)
+    if in_time < MIN_IN_TIME_SHARE * len(calls):
+        yield f'of {len(calls)} {TOP_TIER} calls only {in_time} came in time'
--- a/hornbeamdeck/demo/run.py
+++ b/hornbeamdeck/demo/run.py
@@ -1,4 +1,4 @@
-"""The demo: both traces replayed on an embedded fleet, outcomes checked."""
+"""Demo: replays two traces on an embedded fleet and checks the outcomes."""
 
 import json
 from collections.abc import Callable
@@ -22,16 +22,17 @@
 
 __all__ = ('DemoReport', 'async_demo')
 
-TRACES: Final = ('kerbriant', 'lusitania')
-PROGRESS_EVERY: Final = 50
+TRACE_NAMES: Final = ('kerbriant', 'lusitania')
+PROGRESS_INTERVAL_CALLS: Final = 50
 CONNECT_TIMEOUT_MS: Final = 2000
 
-Say = Callable[[str], None]
+PrintLine = Callable[[str], None]
 
 
 class DemoReport(NamedTuple):
-    """What the demo showed.
+    """Results of the demo.
 
+    :param rows_by_trace: results by tier of each trace.
     :param failed: the stated outcomes that were not met.
     """
 
@@ -39,7 +40,7 @@
     failed: list[str]
 
     def to_json(self) -> str:
-        """Write one JSON object."""
+        """Encode the report as a JSON object."""
         traces = {
             name: [row._asdict() for row in rows]
             for name, rows in self.rows_by_trace.items()
@@ -47,19 +48,21 @@
         return json.dumps({'traces': traces, 'failed': self.failed})
 
 
-async def async_demo(say: Say) -> DemoReport:
+async def async_demo(print_line: PrintLine) -> DemoReport:
     """Run the demo.
 
-    :param say: prints progress and tables.
+    :param print_line: called with each progress line and table.
     """
     fleet = await Fleet.async_start(FleetPlan())
-    say(f'{len(fleet.instances)} instances, {len(fleet.engines)} engines')
+    print_line(
+        f'{len(fleet.instances)} instances, {len(fleet.engines)} engines'
+    )
     rows_by_trace: dict[str, list[TierRow]] = {}
     failed: list[str] = []
-    for name in TRACES:
-        records = await _async_replay_one(fleet, name, say)
+    for name in TRACE_NAMES:
+        records = await _async_replay_named(fleet, name, print_line)
         rows_by_trace[name] = tier_rows(records)
-        say(format_table(rows_by_trace[name]))
+        print_line(format_table(rows_by_trace[name]))
         failed += failed_outcomes(
             records,
             fleet.runs_by_request(),
@@ -69,35 +72,35 @@
     return DemoReport(rows_by_trace, failed)
 
 
-async def async_entries(address: Address, team: str) -> list[Address]:
-    """Ask an instance which addresses a caller is to use."""
+async def async_fetch_entries(address: Address, team: str) -> list[Address]:
+    """Fetch from an instance the addresses that callers should use."""
     headers = {'authorization': f'Bearer {team_key(team)}'}
-    got = await async_fetch_once(
+    response = await async_fetch_once(
         address,
         HttpRequest('GET', '/v1/entries', '', headers, b''),
         timeout_ms=CONNECT_TIMEOUT_MS,
     )
-    answer = json.loads(got.unwrap().body.decode(ENCODING))
-    return [Address.from_text(each['address']) for each in answer['entries']]
+    listing = json.loads(response.unwrap().body.decode(ENCODING))
+    return [Address.from_text(each['address']) for each in listing['entries']]
 
 
-async def _async_replay_one(
+async def _async_replay_named(
     fleet: Fleet,
     name: str,
-    say: Say,
+    print_line: PrintLine,
 ) -> list[CallRecord]:
     trace = load_trace(name)
-    addresses = await async_entries(
+    addresses = await async_fetch_entries(
         fleet.instances[0].own.address,
         trace[0].team,
     )
     records: list[CallRecord] = []
 
-    def _note(record: CallRecord) -> None:
+    def _record_call(record: CallRecord) -> None:
         records.append(record)
-        if not len(records) % PROGRESS_EVERY:
-            say(f'{name}: {len(records)} of {len(trace)} calls answered')
+        if not len(records) % PROGRESS_INTERVAL_CALLS:
+            print_line(f'{name}: {len(records)} of {len(trace)} calls answered')
 
-    say(f'{name}: {len(trace)} calls')
-    await async_replay(trace, addresses, _note)
+    print_line(f'{name}: {len(trace)} calls')
+    await async_replay(trace, addresses, _record_call)
     return records
--- a/hornbeamdeck/demo/trace.py
+++ b/hornbeamdeck/demo/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces: what callers asked, when, in which tier."""
+"""Recorded traces: the calls, their times and their tiers."""
 
 import json
 from importlib import resources
@@ -8,16 +8,17 @@
 
 
 FILLER: Final = 'list of windows, caps and gills; '
-MAX_REPEATS: Final = 2000
+MAX_FILLER_REPEATS: Final = 2000
 
 
 class TraceEntry(NamedTuple):
-    """One call of a trace.
+    """A call of a trace.
 
-    :param at_ms: since the trace began.
-    :param path: below `/services/` for a plain call, empty for a completion.
-    :param prompt_chars: length of a completion's prompt.
-    :param output_tokens: length of its answer.
+    :param at_ms: time of the call, milliseconds since the start of the trace.
+    :param path: path below `/services/<service>` of a plain call; empty for a
+        completion.
+    :param prompt_chars: prompt length of a completion.
+    :param output_tokens: response length of a completion.
     """
 
     at_ms: int
@@ -38,15 +39,15 @@
         return cls(**raw)
 
     def prompt(self, number: int) -> str:
-        """Write the prompt of the n-th entry, no two alike."""
+        """Build a prompt that is unique for each entry number."""
         head = f'{number} {self.team} '
-        return (head + FILLER * MAX_REPEATS)[
+        return (head + FILLER * MAX_FILLER_REPEATS)[
             : max(self.prompt_chars, len(head))
         ]
 
 
 def load_trace(name: str) -> tuple[TraceEntry, ...]:
-    """Read a trace that ships with the package."""
+    """Load a trace from the package data."""
     files = resources.files('hornbeamdeck.demo')
     text = files.joinpath(f'{name}.json').read_text()
     return tuple(map(TraceEntry.from_config, json.loads(text)))
