--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Settings for all tests: the same verdict every time.
+"""Settings for all tests, so that every run gives the same result.
 
-Hypothesis draws the same examples. What stands in KNOWN-RED.txt is passed over
-and named: each line there begins with a test's id.
+Hypothesis always generates the same examples. Tests listed in KNOWN-RED.txt
+are skipped and their line is shown as the reason. Each line there begins with
+the id of a test.
 """
 
 import pathlib
@@ -21,16 +22,16 @@
 settings.load_profile('fixed')
 
 
-def _known_red() -> dict[str, str]:
+def _known_red_by_test_id() -> dict[str, str]:
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
-    listed = [line for line in lines if line and not line.startswith('#')]
-    return {line.split()[0]: line for line in listed}
+    entries = [line for line in lines if line and not line.startswith('#')]
+    return {line.split()[0]: line for line in entries}
 
 
 def pytest_itemcollected(item: pytest.Item) -> None:  # noqa: WPS110
-    """Pass over just the tests that are listed as red."""
-    reason = _known_red().get(item.nodeid)
+    """Skip exactly the tests that KNOWN-RED.txt lists."""
+    reason = _known_red_by_test_id().get(item.nodeid)
     if reason is not None:
         item.add_marker(pytest.mark.skip(reason=reason))
--- a/tests/demo/__init__.py
+++ b/tests/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the demo: that it can fail."""
+"""Tests that the demo detects failures."""
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -1,4 +1,4 @@
-"""The demo's stated outcomes, each shown able to fail."""
+"""Tests that the demo reports each stated outcome that is not met."""
 
 from typing import Any
 
@@ -27,23 +27,23 @@
     return record._replace(**changes)
 
 
-def test_all_well_names_nothing() -> None:
+def test_no_failure_without_unmet_outcome() -> None:
     assert failed_outcomes([_record()], {'r1': 1}, {'k': 1}) == []
 
 
-def test_each_broken_promise_is_named() -> None:
-    """The demo is what a newcomer judges the system by. A promise that breaks
-    in it must not end in `every stated outcome was met`.
+def test_each_unmet_outcome_is_reported() -> None:
+    """New users judge the system by the demo. It must not print `every stated
+    outcome was met` when an outcome was not met.
     """
     refused = _record(status=503, outcome='not_run', is_whole=False)
     cut = _record(is_whole=False)
     late = _record(total_ms=11_000)
-    whole = [_record()] * 100
+    successful = [_record()] * 100
     cases = [
         ([_record()], {'r1': 2}, {}, 'request r1 ran 2 times'),
         ([_record()], {}, {'k': 2}, 'idempotency key k ran 2 times'),
-        ([*whole, refused], {'r1': 1}, {}, 'said not to run, and ran'),
-        ([*whole, cut], {'r1': 1}, {}, 'wrong or cut answer'),
+        ([*successful, refused], {'r1': 1}, {}, 'said not to run, and ran'),
+        ([*successful, cut], {'r1': 1}, {}, 'wrong or cut answer'),
         ([late], {'r1': 1}, {}, 'only 0 came in time'),
     ]
     for records, runs, keys, expected in cases:
@@ -52,7 +52,7 @@
         assert expected in failures[0]
 
 
-def test_table_counts_by_tier() -> None:
+def test_table_counts_results_by_tier() -> None:
     long = desk_entry(tier='long')
     rows = tier_rows([_record(), _record(entry=long, status=503)])
     assert [(row.tier, row.asked, row.shed) for row in rows] == [
@@ -62,7 +62,7 @@
     assert len(format_table(rows).splitlines()) == 3
 
 
-def test_percentile_is_the_nearest_rank() -> None:
+def test_percentile_uses_nearest_rank() -> None:
     numbers = [float(each) for each in range(1, 101)]
     assert percentile(numbers, 0.95) == 95
     assert percentile([], 0.5) == 0
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A platform in memory, without a network, for property tests."""
+"""In-memory platform without a network, for property tests."""
 
 from result import Err, Ok, Result
 
@@ -14,14 +14,15 @@
 
 
 class FakePlatform:
-    """Objects with conditional writes.
+    """A platform with conditional writes and simulated faults.
 
-    While `fault` is set, calls fail before (`down`) or after (`lost`) they
-    took effect; `coming` holds other faults for the very next calls.
+    While `fault` is set, calls fail before (`down`) or after (`lost`) they take
+    effect. Faults in `coming` apply to the next calls, one for each, and take
+    precedence over `fault`.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a platform without objects or faults."""
         self.stored: dict[str, StoredObject] = {}
         self.version = 0
         self.fault = ''
@@ -48,15 +49,19 @@
         role: str,
         timeout_ms: int = 0,
     ) -> Result[int, PlatformError]:
-        """Write an object on a condition."""
+        """Write an object if its current version is the expected one.
+
+        :param expected: the expected version; `None` if there must be no
+            object.
+        """
         fault = self._next_fault()
         if fault == DOWN:
             return Err(PlatformDown(role))
-        if not self._holds(key, expected):
+        if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.version += 1
         self.stored[key] = StoredObject(key, self.version, body)
-        return self._answer(fault)
+        return self._write_result(fault)
 
     async def async_delete(
         self,
@@ -65,23 +70,23 @@
         expected: int,
         role: str,
     ) -> Result[int, PlatformError]:
-        """Delete an object on a condition."""
+        """Delete an object if its current version is the expected one."""
         fault = self._next_fault()
         if fault == DOWN:
             return Err(PlatformDown(role))
-        if not self._holds(key, expected):
+        if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.stored.pop(key)
-        return self._answer(fault)
+        return self._write_result(fault)
 
     def _next_fault(self) -> str:
         return self.coming.pop(0) if self.coming else self.fault
 
-    def _holds(self, key: str, expected: int | None) -> bool:
+    def _meets_condition(self, key: str, expected: int | None) -> bool:
         stored = self.stored.get(key)
         return expected == (stored.version if stored else None)
 
-    def _answer(self, fault: str) -> Result[int, PlatformError]:
+    def _write_result(self, fault: str) -> Result[int, PlatformError]:
         if fault == LOST:
-            return Err(PlatformDown('the answer was lost'))
+            return Err(PlatformDown('the response was lost'))
         return Ok(self.version)
--- a/tests/features/outcomes.feature
+++ b/tests/features/outcomes.feature
@@ -1,14 +1,14 @@
-Feature: What families and guides can rely on
+Feature: Outcomes that callers can rely on
 
-  Scenario: A booking is sent again after the phone lost its connection
+  Scenario: A booking is sent again after a lost connection
     Given a fleet with one engine
     When the trace "booking-resent" is replayed
     Then every booking was made exactly once
-    And every call was answered whole or told to ask again
+    And every call got a complete response or status 409
 
-  Scenario: A booking is sent while the platform loses its answers
+  Scenario: A booking is sent while the platform loses its responses
     Given a fleet with one engine
-    And the platform loses the answers to its next 3 writes
+    And the platform loses the responses to its next 3 writes
     When the trace "booking-resent" is replayed
     Then every booking was made exactly once
 
@@ -18,17 +18,17 @@
     When the trace "booking-hurried" is replayed
     Then no booking was made
     And every booking was refused as not run
-    And every refusal says when to come back
+    And every refusal has a retry-after time
 
-  Scenario: Guides ask while long write-ups hold the engine
+  Scenario: Urgent calls are sent while long requests occupy the engine
     Given a fleet with one engine
     When the trace "lookalike-beside-write-ups" is replayed
-    Then every call of tier "urgent" was answered whole
-    And the engine was never given more than 6 answers at a time
+    Then every call of tier "urgent" got a complete response
+    And the engine never ran more than 6 requests at the same time
 
-  Scenario: Engines break under running answers
+  Scenario: An engine breaks while it generates responses
     Given a fleet with two engines
-    When the trace "chat-hour" is replayed and an engine breaks meanwhile
-    Then no answer was wrong, cut and ended cleanly
-    And no request was dispatched twice
-    And what was said not to run did not run
+    When the trace "chat-hour" is replayed and an engine breaks during the replay
+    Then no cleanly ended response was wrong or truncated
+    And no request ran more than once
+    And no request reported as not run has run
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What many tests share: running curio code, and calls to a fleet."""
+"""Helpers for tests: run curio code and send calls to a fleet."""
 
 import functools
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 
 
 def curio_test(scenario: Callable[[], Awaitable[None]]) -> Callable[[], None]:
-    """Run a coroutine function as a test."""
+    """Decorate a coroutine function so that it runs as a test."""
 
     @functools.wraps(scenario)
     def _run() -> None:
@@ -30,7 +30,10 @@
 
 
 def on_fleet(plan: FleetPlan) -> Callable[[Scenario], Callable[[], None]]:
-    """Run a scenario on a fleet of its own."""
+    """Decorate a scenario so that it runs as a test on a new fleet.
+
+    The fleet is stopped when the scenario ends.
+    """
 
     def _decorate(scenario: Scenario) -> Callable[[], None]:
         async def _async_scenario() -> None:
@@ -50,17 +53,20 @@
 
 
 async def async_fetch(address: Address, request: HttpRequest) -> HttpResponse:
-    """Make one call on a connection of its own."""
-    got = await async_fetch_once(
+    """Send a request on a new connection and return the response."""
+    response = await async_fetch_once(
         address,
         request,
         timeout_ms=CONNECT_TIMEOUT_MS,
     )
-    return got.unwrap()
+    return response.unwrap()
 
 
 def desk_entry(**changes: Any) -> TraceEntry:
-    """Describe a call to the model service; changes go over the defaults."""
+    """Build a trace entry for the model service.
+
+    :param changes: fields that replace the defaults.
+    """
     entry = TraceEntry(
         at_ms=0,
         team='guides',
@@ -74,7 +80,10 @@
 
 
 def booking_entry(key: str, **changes: Any) -> TraceEntry:
-    """Describe a booking with an idempotency key."""
+    """Build a trace entry for a booking with an idempotency key.
+
+    :param changes: fields that replace the defaults.
+    """
     entry = TraceEntry(
         at_ms=0,
         team='families',
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""Traces with stated outcomes, replayed in the users' terms."""
+"""Steps of the feature tests, which replay traces on an embedded fleet."""
 
 import json
 import pathlib
@@ -20,16 +20,16 @@
 SPEEDS = {'one engine': (1.0,), 'two engines': (1.0, 1.0)}
 
 
-class Seen(NamedTuple):
-    """What a replay showed."""
+class ReplayResult(NamedTuple):
+    """Results of a replay and counters of the stand-ins."""
 
     records: list[CallRecord]
     runs: Counter[str]
-    booked: dict[str, int]
+    bookings: dict[str, int]
     peak_running: int
 
 
-def _load(name: str) -> list[TraceEntry]:
+def _load_trace(name: str) -> list[TraceEntry]:
     raw = json.loads((TRACES / f'{name}.json').read_text())
     return [TraceEntry.from_config(each) for each in raw]
 
@@ -38,135 +38,143 @@
     plan: FleetPlan,
     switches: dict[str, Any],
     name: str,
-    break_after_s: float | None,
-) -> Seen:
+    outage_after_s: float | None,
+) -> ReplayResult:
     fleet = await Fleet.async_start(plan)
     fleet.platform.switches = fleet.platform.switches._replace(**switches)
     records: list[CallRecord] = []
     addresses = [each.own.address for each in fleet.instances]
     replay = await curio.spawn(
         async_replay,
-        _load(name),
+        _load_trace(name),
         addresses,
         records.append,
     )
-    if break_after_s is not None:
-        await curio.sleep(break_after_s)
+    if outage_after_s is not None:
+        await curio.sleep(outage_after_s)
         outage = fleet.engines[0].on_outage
         assert outage is not None
         await outage(200)
     await replay.join()
     runs = fleet.runs_by_request()
     await fleet.async_stop()
-    most = max(each.batch.peak_running for each in fleet.engines)
-    return Seen(records, runs, dict(fleet.booking.runs), most)
+    peak = max(each.batch.peak_running for each in fleet.engines)
+    return ReplayResult(records, runs, dict(fleet.booking.runs), peak)
 
 
 @pytest.fixture
 def switches() -> dict[str, Any]:
-    """Give no faults, unless a step brings some about."""
+    """Return no faults; a step that simulates faults replaces this fixture."""
     return {}
 
 
 @given(parsers.parse('a fleet with {engines}'), target_fixture='plan')
-def _plan(engines: str) -> FleetPlan:
+def _fleet_plan(engines: str) -> FleetPlan:
     return FleetPlan(speeds=SPEEDS[engines], max_running=6)
 
 
 @given('the platform is down', target_fixture='switches')
-def _down() -> dict[str, Any]:
+def _platform_down() -> dict[str, Any]:
     return {'is_down': True}
 
 
 @given(
     parsers.parse(
-        'the platform loses the answers to its next {count:d} writes'
+        'the platform loses the responses to its next {count:d} writes'
     ),
     target_fixture='switches',
 )
-def _lost(count: int) -> dict[str, Any]:
+def _lost_responses(count: int) -> dict[str, Any]:
     return {'lost_answers': count}
 
 
 @when(
     parsers.re('the trace "(?P<name>[a-z-]+)" is replayed$'),
-    target_fixture='seen',
+    target_fixture='replay_result',
 )
-def _replay(plan: FleetPlan, switches: dict[str, Any], name: str) -> Seen:
-    seen: Seen = curio.run(_async_replay, plan, switches, name, None)
-    return seen
+def _replay_trace(
+    plan: FleetPlan, switches: dict[str, Any], name: str
+) -> ReplayResult:
+    replay_result: ReplayResult = curio.run(
+        _async_replay, plan, switches, name, None
+    )
+    return replay_result
 
 
 @when(
     parsers.parse(
-        'the trace "{name}" is replayed and an engine breaks meanwhile'
+        'the trace "{name}" is replayed and an engine breaks during the replay'
     ),
-    target_fixture='seen',
+    target_fixture='replay_result',
 )
-def _replay_broken(plan: FleetPlan, name: str) -> Seen:
-    seen: Seen = curio.run(_async_replay, plan, {}, name, 0.4)
-    return seen
+def _replay_with_outage(plan: FleetPlan, name: str) -> ReplayResult:
+    replay_result: ReplayResult = curio.run(_async_replay, plan, {}, name, 0.4)
+    return replay_result
 
 
 @then('every booking was made exactly once')
-def _once(seen: Seen) -> None:
-    keys = {record.entry.idempotency_key for record in seen.records}
-    assert seen.booked == dict.fromkeys(keys, 1)
+def _booked_exactly_once(replay_result: ReplayResult) -> None:
+    keys = {record.entry.idempotency_key for record in replay_result.records}
+    assert replay_result.bookings == dict.fromkeys(keys, 1)
 
 
 @then('no booking was made')
-def _none(seen: Seen) -> None:
-    assert not seen.booked
+def _nothing_booked(replay_result: ReplayResult) -> None:
+    assert not replay_result.bookings
 
 
-@then('every call was answered whole or told to ask again')
-def _whole(seen: Seen) -> None:
-    # A copy that overtakes the first one's end is told to ask again.
-    others = {each.status for each in seen.records if not each.is_whole}
-    assert others <= {409}
+@then('every call got a complete response or status 409')
+def _complete_or_conflict(replay_result: ReplayResult) -> None:
+    # 409: a repeated call arrived while the first one was still running.
+    incomplete_statuses = {
+        each.status for each in replay_result.records if not each.is_whole
+    }
+    assert incomplete_statuses <= {409}
 
 
 @then('every booking was refused as not run')
-def _refused(seen: Seen) -> None:
-    words = {(each.status, each.outcome) for each in seen.records}
-    assert words == {(503, 'not_run')}
+def _all_refused(replay_result: ReplayResult) -> None:
+    outcomes = {(each.status, each.outcome) for each in replay_result.records}
+    assert outcomes == {(503, 'not_run')}
 
 
-@then('every refusal says when to come back')
-def _come_back(seen: Seen) -> None:
-    assert all(each.retry_after_s for each in seen.records)
+@then('every refusal has a retry-after time')
+def _refusals_have_retry_after(replay_result: ReplayResult) -> None:
+    assert all(each.retry_after_s for each in replay_result.records)
 
 
-@then(parsers.parse('every call of tier "{tier}" was answered whole'))
-def _tier_whole(seen: Seen, tier: str) -> None:
-    asked = [each for each in seen.records if each.entry.tier == tier]
-    assert asked
-    assert all(each.is_whole for each in asked)
+@then(parsers.parse('every call of tier "{tier}" got a complete response'))
+def _tier_complete(replay_result: ReplayResult, tier: str) -> None:
+    tier_records = [
+        each for each in replay_result.records if each.entry.tier == tier
+    ]
+    assert tier_records
+    assert all(each.is_whole for each in tier_records)
 
 
 @then(
     parsers.parse(
-        'the engine was never given more than {most:d} answers at a time',
+        'the engine never ran more than {limit:d} requests at the same time',
     ),
 )
-def _limit(seen: Seen, most: int) -> None:
-    assert 0 < seen.peak_running <= most
+def _concurrency_limit(replay_result: ReplayResult, limit: int) -> None:
+    assert 0 < replay_result.peak_running <= limit
 
 
-@then('no answer was wrong, cut and ended cleanly')
-def _not_cut(seen: Seen) -> None:
-    ran = [each for each in seen.records if each.outcome == 'ran']
+@then('no cleanly ended response was wrong or truncated')
+def _clean_responses_complete(replay_result: ReplayResult) -> None:
+    ran = [each for each in replay_result.records if each.outcome == 'ran']
     assert ran
     assert all(each.is_whole for each in ran)
 
 
-@then('no request was dispatched twice')
-def _not_twice(seen: Seen) -> None:
-    assert set(seen.runs.values()) == {1}
+@then('no request ran more than once')
+def _no_repeated_run(replay_result: ReplayResult) -> None:
+    assert set(replay_result.runs.values()) == {1}
 
 
-@then('what was said not to run did not run')
-def _truthful(seen: Seen) -> None:
-    for record in seen.records:
+@then('no request reported as not run has run')
+def _not_run_is_true(replay_result: ReplayResult) -> None:
+    for record in replay_result.records:
         if record.outcome == 'not_run':
-            assert record.request_id not in seen.runs
+            assert record.request_id not in replay_result.runs
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""What the parts of the tree may know of each other."""
+"""Tests of the dependencies between the packages."""
 
 import ast
 import pathlib
@@ -33,27 +33,27 @@
 )
 
 
-def test_only_the_adapter_knows_the_platforms_names() -> None:
-    named = [
-        f'{path}: {found.group()}'
+def test_only_adapter_contains_platform_names() -> None:
+    matches = [
+        f'{path}: {match.group()}'
         for path in ROOT.rglob('*.py')
         if ADAPTER not in path.parents
-        for found in WIRE_NAMES.finditer(path.read_text())
+        for match in WIRE_NAMES.finditer(path.read_text())
     ]
-    assert not named
+    assert not matches
 
 
-def test_nothing_of_the_product_needs_the_adapter() -> None:
-    needing = [
+def test_product_does_not_import_adapter() -> None:
+    importers = [
         str(path)
         for path in ROOT.rglob('*.py')
         if ADAPTER not in path.parents
         and 'hornbeamdeck.platform' in path.read_text()
     ]
-    assert not needing
+    assert not importers
 
 
-def test_the_adapter_stays_small() -> None:
+def test_adapter_stays_below_line_limit() -> None:
     lines = sum(
         len(path.read_text().splitlines()) for path in ADAPTER.rglob('*.py')
     )
@@ -73,7 +73,9 @@
 
 
 def test_scheduling_imports_no_io_modules() -> None:
-    """Guards against scheduling code that can't be tested with a given time."""
+    """Scheduling code that does I/O or reads a clock couldn't be tested with a
+    simulated time.
+    """
     forbidden = [
         f'{path}: {module}'
         for path in SCHEDULING.rglob('*.py')
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages say what the code does."""
+"""Tests of the metrics against their documentation and their use."""
 
 import pathlib
 
@@ -14,7 +14,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def _names(registry: CollectorRegistry) -> set[str]:
+def _metric_names(registry: CollectorRegistry) -> set[str]:
     names = set()
     for family in registry.collect():
         suffix = '_total' if family.type == 'counter' else ''
@@ -22,7 +22,7 @@
     return names
 
 
-def test_every_metric_is_on_its_page() -> None:
+def test_metrics_page_lists_every_metric() -> None:
     page = (ROOT / 'docs/operators/metrics.md').read_text()
     listed = {
         line.split('`')[1]
@@ -30,13 +30,13 @@
         if line.startswith('| `')
     }
     front = make_registry(FrontMetrics())
-    assert listed == _names(Metrics().registry) | _names(front)
+    assert listed == _metric_names(Metrics().registry) | _metric_names(front)
 
 
 @on_fleet(FleetPlan(instances=2, speeds=(1.0,)))
-async def test_every_metric_moves(fleet: Fleet) -> None:
-    """An operator looks at a metric in the night that no code ever sets, and
-    concludes from its zero that all is well.
+async def test_every_metric_is_recorded(fleet: Fleet) -> None:
+    """A metric that no code ever sets stays at zero. An operator would conclude
+    from it that there is no problem.
     """
     for number, instance in enumerate(fleet.instances):
         await async_call(desk_entry(), number, instance.own.address)
@@ -50,11 +50,14 @@
             number,
             instance.own.address,
         )
-    moved = {
+    recorded = {
         sample.name.removesuffix('_count')
         for instance in fleet.instances
         for family in instance.parts.metrics.registry.collect()
         for sample in family.samples
         if sample.value
     }
-    assert _names(Metrics().registry) - {'hornbeamdeck_in_flight'} <= moved
+    assert (
+        _metric_names(Metrics().registry) - {'hornbeamdeck_in_flight'}
+        <= recorded
+    )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes: killed, told to stop, given wrong settings."""
+"""Tests with real processes: a kill, a graceful shutdown, wrong settings."""
 
 import json
 import pathlib
@@ -13,17 +13,19 @@
 from hornbeamdeck.demo.replay import async_replay
 from tests.support import desk_entry
 
-ONE_SLOW = Plan(speeds=(1.0,), max_running=2, max_prompt_tokens=512)
-WAITING = 50
+ONE_ENGINE = Plan(speeds=(1.0,), max_running=2, max_prompt_tokens=512)
+WAITING_REQUESTS = 50
 
 
-def test_killed_owner_process_costs_no_answer() -> None:
-    """The process that owns the cell is killed by the system while fifty
-    requests wait at the two others. All fifty callers get their answers, and
-    the engine itself has counted one run for each.
+def test_killed_owner_process_loses_no_response() -> None:
+    """Guards against lost and repeated runs when the owner of a cell dies.
+
+    The owner process is killed while fifty requests wait at the two other
+    instances. All fifty callers get their responses, and the engine counts one
+    run for each request.
     """
     records: list[CallRecord] = []
-    with process_fleet(ONE_SLOW) as fleet:
+    with process_fleet(ONE_ENGINE) as fleet:
         owner = fleet.instances[fleet.owner_of('desk')]
         addresses = [
             each.address for each in fleet.instances if each is not owner
@@ -33,7 +35,7 @@
         async def _async_scenario() -> None:
             replay = await curio.spawn(
                 async_replay,
-                [entry] * WAITING,
+                [entry] * WAITING_REQUESTS,
                 addresses,
                 records.append,
             )
@@ -44,42 +46,42 @@
 
         curio.run(_async_scenario)
         runs = ask(fleet.engines[0].address, '/standin/records')['runs']
-    assert [record.is_whole for record in records] == [True] * WAITING
+    assert [record.is_whole for record in records] == [True] * WAITING_REQUESTS
     assert sorted(runs) == sorted(record.request_id for record in records)
     assert set(runs.values()) == {1}
 
 
 def test_sigterm_drains_and_exits_cleanly() -> None:
-    """An instance is replaced while it answers twenty callers. It finishes
-    all of them and exits with 0.
+    """An instance that is replaced while it serves twenty callers finishes all
+    their requests and exits with code 0.
     """
     records: list[CallRecord] = []
-    plan = ONE_SLOW._replace(instances=2)
+    plan = ONE_ENGINE._replace(instances=2)
     with process_fleet(plan) as fleet:
-        leaving = fleet.instances[0]
+        draining = fleet.instances[0]
         entry = desk_entry(deadline_ms=30_000, output_tokens=30)
 
         async def _async_scenario() -> None:
             replay = await curio.spawn(
                 async_replay,
                 [entry] * 20,
-                [leaving.address],
+                [draining.address],
                 records.append,
             )
             await curio.sleep(0.3)
-            leaving.process.send_signal(signal.SIGTERM)
+            draining.process.send_signal(signal.SIGTERM)
             await replay.join()
 
         curio.run(_async_scenario)
-        assert leaving.process.wait(timeout=30) == 0
-        logged = [event['event'] for event in leaving.log_events()]
-    assert 'instance: planned stop ends' in logged
+        assert draining.process.wait(timeout=30) == 0
+        log_texts = [event['event'] for event in draining.log_events()]
+    assert 'instance: planned stop ends' in log_texts
     assert [record.is_whole for record in records] == [True] * 20
 
 
-def test_wrong_settings_name_file_and_field(tmp_path: pathlib.Path) -> None:
-    """An operator mistypes an address and leaves a secret out. Both are named
-    at once, with the file they are in, and the process does not start.
+def test_invalid_settings_report_file_and_field(tmp_path: pathlib.Path) -> None:
+    """The settings have a mistyped address and lack a secret. The process
+    reports both errors at once with the path of the file and doesn't start.
     """
     path = tmp_path / 'instance.json'
     path.write_text(
@@ -94,12 +96,14 @@
             },
         ),
     )
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'hornbeamdeck', 'serve', '--settings', path],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ended.returncode == 2
-    assert f'{path}: address: expected ip:port' in ended.stderr
-    assert f'{path}: fleet_secret: required key not provided' in ended.stderr
+    assert completed.returncode == 2
+    assert f'{path}: address: expected ip:port' in completed.stderr
+    assert (
+        f'{path}: fleet_secret: required key not provided' in completed.stderr
+    )
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request's whole way over several instances."""
+"""End-to-end tests of requests on a fleet of several instances."""
 
 from curio import TaskGroup
 
@@ -8,7 +8,7 @@
 
 
 @on_fleet(FleetPlan())
-async def test_streams_at_every_instance(fleet: Fleet) -> None:
+async def test_every_instance_streams_complete_response(fleet: Fleet) -> None:
     for number, instance in enumerate(fleet.instances):
         record = await async_call(desk_entry(), number, instance.own.address)
         assert record.is_whole
@@ -16,33 +16,34 @@
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
-async def test_whole_answer_without_stream(fleet: Fleet) -> None:
+async def test_complete_response_without_stream(fleet: Fleet) -> None:
     entry = desk_entry(is_stream=False)
     record = await async_call(entry, 1, fleet.instances[1].own.address)
     assert record.is_whole
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
-async def test_booking_resent_elsewhere_gets_first_outcome(
+async def test_booking_resent_to_other_instance_is_replayed(
     fleet: Fleet,
 ) -> None:
-    """A family's phone loses its connection after a booking was made, and the
-    family sends it again, to another instance. It must see the booking it has,
-    and must not pay for a second one.
+    """Guards against a second booking when a caller loses its connection after
+    the booking was made and sends it again to another instance. The caller
+    must get the response of the first booking.
     """
     entry = booking_entry('huelgoat-1')
-    first = await async_call(entry, 1, fleet.instances[0].own.address)
-    again = await async_call(entry, 1, fleet.instances[1].own.address)
-    assert first.is_whole
-    assert again.is_whole
+    original = await async_call(entry, 1, fleet.instances[0].own.address)
+    repeated = await async_call(entry, 1, fleet.instances[1].own.address)
+    assert original.is_whole
+    assert repeated.is_whole
     assert fleet.booking.runs == {'huelgoat-1': 1}
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
-async def test_booking_sent_at_once_to_all_runs_once(fleet: Fleet) -> None:
-    """A nervous customer presses the button again and again, and each press
-    reaches another instance while the first is still running. One booking is
-    made; the presses that lost the race are not told that theirs ran.
+async def test_concurrent_copies_of_booking_run_once(fleet: Fleet) -> None:
+    """Guards against several bookings when a customer presses the button
+    repeatedly and each copy reaches another instance while the first one is
+    still running. One booking is made, and the other copies are not reported
+    as run.
     """
     entry = booking_entry('broceliande-1')
     async with TaskGroup() as calls:
@@ -55,10 +56,10 @@
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
-async def test_lost_answer_to_claim_is_settled(fleet: Fleet) -> None:
-    """The platform stores the claim of a booking and its answer is lost on
-    the way. The booking must go through once, not be taken for somebody
-    else's.
+async def test_booking_succeeds_after_lost_claim_response(fleet: Fleet) -> None:
+    """The platform stores the claim of a booking, but its response is lost. The
+    instance must recognize the claim as its own, and the booking must run
+    exactly once.
     """
     fleet.platform.switches = fleet.platform.switches._replace(lost_answers=1)
     entry = booking_entry('lost-1')
