--- a/hornbeamdeck/cli.py
+++ b/hornbeamdeck/cli.py
@@ -45,9 +45,12 @@
         for error in loaded.err_value:
             print(error, file=sys.stderr)
         sys.exit(EXIT_USAGE)
-    chosen = loaded.ok_value
-    setup_logs(level=chosen.log_level, instance_id=chosen.instance_id)
-    sys.exit(EXIT_FAILED if curio.run(async_serve, chosen) else 0)
+    checked_settings = loaded.ok_value
+    setup_logs(
+        level=checked_settings.log_level,
+        instance_id=checked_settings.instance_id,
+    )
+    sys.exit(EXIT_FAILED if curio.run(async_serve, checked_settings) else 0)
 
 
 def check_settings(path: str) -> None:
--- a/hornbeamdeck/demo/caller.py
+++ b/hornbeamdeck/demo/caller.py
@@ -76,15 +76,15 @@
 
     :param number: number of the entry in its trace.
     """
-    begin_ms = now_ms()
+    start_ms = now_ms()
     try:
         response = await async_within(
             entry.deadline_ms + DEADLINE_GRACE_MS,
-            _async_exchange(_request(entry, number), address),
+            _async_exchange(_make_request(entry, number), address),
         )
     except TaskTimeout:
         response = _failed_response('client timeout')
-    return _to_record(entry, number, response, begin_ms)
+    return _make_record(entry, number, response, start_ms)
 
 
 async def _async_exchange(request: HttpRequest, address: Address) -> _Response:
@@ -137,7 +137,7 @@
     return _Response(STATUS_BROKEN, {'code': code}, b'', 0, False)
 
 
-def _request(entry: TraceEntry, number: int) -> HttpRequest:
+def _make_request(entry: TraceEntry, number: int) -> HttpRequest:
     headers = {
         'authorization': f'Bearer {team_key(entry.team)}',
         'content-type': 'application/json',
@@ -165,11 +165,11 @@
     )
 
 
-def _to_record(
+def _make_record(
     entry: TraceEntry,
     number: int,
     response: _Response,
-    begin_ms: float,
+    start_ms: float,
 ) -> CallRecord:
     is_success = response.has_ended and response.status in {
         HTTPStatus.OK,
@@ -182,10 +182,10 @@
         code=response.headers.get('code', ''),
         request_id=response.headers.get(HEADER_REQUEST_ID, ''),
         is_whole=is_success and _is_complete(entry, number, response),
-        first_token_ms=response.first_byte_ms - begin_ms
+        first_token_ms=response.first_byte_ms - start_ms
         if response.first_byte_ms
         else 0,
-        total_ms=now_ms() - begin_ms,
+        total_ms=now_ms() - start_ms,
         retry_after_s=int(response.headers.get('retry-after', 0)),
     )
 
--- a/hornbeamdeck/demo/document.py
+++ b/hornbeamdeck/demo/document.py
@@ -93,7 +93,7 @@
                 ],
             },
         ],
-        CONF_TEAMS: [_team(name) for name in TEAMS],
+        CONF_TEAMS: [_make_team(name) for name in TEAMS],
         CONF_UPSTREAMS: upstreams,
     }
 
@@ -103,7 +103,7 @@
     return f'key-of-{team}'
 
 
-def _team(name: str) -> dict[str, Any]:
+def _make_team(name: str) -> dict[str, Any]:
     digest = hashlib.sha256(team_key(name).encode(ENCODING)).hexdigest()
     return {
         CONF_NAME: name,
--- a/hornbeamdeck/demo/replay.py
+++ b/hornbeamdeck/demo/replay.py
@@ -25,7 +25,7 @@
 
     :param on_record: called with the result of each call.
     """
-    begin_ms = now_ms()
+    start_ms = now_ms()
 
     async def _async_send_entry(number: int, entry: TraceEntry) -> None:
         address = addresses[number % len(addresses)]
@@ -33,6 +33,6 @@
 
     async with TaskGroup() as calls:
         for number, entry in enumerate(trace):
-            wait_ms = begin_ms + entry.at_ms - now_ms()
+            wait_ms = start_ms + entry.at_ms - now_ms()
             await sleep(max(wait_ms, 0) / MILLIS_PER_SECOND)
             await calls.spawn(_async_send_entry, number, entry)
--- a/hornbeamdeck/standin/commands.py
+++ b/hornbeamdeck/standin/commands.py
@@ -32,7 +32,7 @@
         parsed = Address.from_text(address)
     except ValueError:
         return Err(f'{address}: expected ip:port')
-    listener = await _async_setup(kind, parsed, speed)
+    listener = await _async_setup_standin(kind, parsed, speed)
     if listener is None:
         return Err(f'{kind}: expected platform, engine or booking')
     _LOGGER.info('stand-in listens', address=str(listener.address))
@@ -41,7 +41,7 @@
     return Ok(None)
 
 
-async def _async_setup(
+async def _async_setup_standin(
     kind: str,
     address: Address,
     speed: float,
--- a/hornbeamdeck/standin/completion.py
+++ b/hornbeamdeck/standin/completion.py
@@ -39,7 +39,7 @@
     return {**choice, field: {'role': 'assistant', 'content': text}}
 
 
-def _envelope(choice: Any, body: dict[str, Any]) -> dict[str, Any]:
+def _make_body(choice: Any, body: dict[str, Any]) -> dict[str, Any]:
     kind = 'chat.completion' if _is_chat(body) else 'text_completion'
     if body.get('stream') and _is_chat(body):
         kind = 'chat.completion.chunk'
@@ -58,7 +58,7 @@
     :param body: the request.
     """
     return json_response(
-        HTTPStatus.OK, _envelope(make_choice(text, body, 'stop'), body)
+        HTTPStatus.OK, _make_body(make_choice(text, body, 'stop'), body)
     )
 
 
@@ -67,5 +67,5 @@
 
     :param body: the request.
     """
-    encoded = json.dumps(_envelope(choice, body))
+    encoded = json.dumps(_make_body(choice, body))
     return f'data: {encoded}\n\n'.encode(ENCODING)
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -252,7 +252,7 @@
     """
     engine = EngineStandin(model)
     listeners = [await async_setup_web(address, engine.async_handle)]
-    bound = listeners[0].address
+    bound_address = listeners[0].address
     batch_task = await spawn(engine.batch.async_run, daemon=True)
     report_task = await spawn(engine.async_refresh_report, daemon=True)
 
@@ -267,13 +267,17 @@
 
     async def _async_cut() -> None:
         await listeners[-1].async_unload()
-        listeners.append(await async_setup_web(bound, engine.async_handle))
+        listeners.append(
+            await async_setup_web(bound_address, engine.async_handle)
+        )
 
     async def _async_outage(down_ms: int) -> None:
         await listeners[-1].async_unload()
         await engine.streams.async_cancel_all()
         await sleep(down_ms / MILLIS_PER_SECOND)
-        listeners.append(await async_setup_web(bound, engine.async_handle))
+        listeners.append(
+            await async_setup_web(bound_address, engine.async_handle)
+        )
 
     engine.on_crash = _async_crash
     engine.on_outage = _async_outage
--- a/hornbeamdeck/standin/platform.py
+++ b/hornbeamdeck/standin/platform.py
@@ -32,7 +32,7 @@
 STATE_LIVE: Final = 'live'
 
 
-class _Stored(NamedTuple):
+class _VersionedObject(NamedTuple):
     version: int
     body: str
 
@@ -59,7 +59,7 @@
         self.switches = Switches()
         self.calls: dict[str, int] = {}
         self.listed: dict[str, str] = {}
-        self._stored: dict[str, _Stored] = {}
+        self._stored: dict[str, _VersionedObject] = {}
         self._revision = 0
         self._events: list[dict[str, Any]] = []
         self._changed = Event()
@@ -216,7 +216,7 @@
                 {ATTR_VERSION: stored and stored.version},
             )
         version = await self._async_append_event(key, request.body.decode())
-        self._stored[key] = _Stored(version, request.body.decode())
+        self._stored[key] = _VersionedObject(version, request.body.decode())
         return json_response(HTTPStatus.OK, {ATTR_VERSION: version})
 
     async def _async_delete(
--- a/hornbeamdeck/standin/streams.py
+++ b/hornbeamdeck/standin/streams.py
@@ -29,7 +29,7 @@
 
     def __init__(self, sequence: Sequence) -> None:
         self.sequence = sequence
-        self.written = bytearray()
+        self.output = bytearray()
         self.is_done = False
         self.readers = 0
         self.output_added = Event()
@@ -56,7 +56,10 @@
         stream = _Stream(sequence)
         self._streams[stream_id] = stream
         stream.collect_task = await spawn(
-            _async_collect, stream, events, daemon=True
+            _async_collect,
+            stream,
+            events,
+            daemon=True,
         )
         await self._async_send(stream_id, 0, connection)
 
@@ -121,7 +124,7 @@
     events: AsyncIterator[bytes],
 ) -> None:
     async for encoded in events:
-        stream.written += encoded
+        stream.output += encoded
         await _async_notify_readers(stream)
     stream.is_done = True
     await _async_notify_readers(stream)
@@ -142,7 +145,7 @@
     headers = {'content-type': 'text/event-stream', HEADER_STREAM: stream_id}
     await connection.async_start(HTTPStatus.OK, headers)
     while True:
-        unsent = bytes(stream.written[offset:])
+        unsent = bytes(stream.output[offset:])
         offset += len(unsent)
         if unsent:
             await connection.async_send(unsent)
--- a/hornbeamdeck/standin/web.py
+++ b/hornbeamdeck/standin/web.py
@@ -38,7 +38,8 @@
 
 
 async def async_setup_web(
-    address: Address, request_handler: Answer
+    address: Address,
+    request_handler: Answer,
 ) -> Listener:
     """Serve requests on an address.
 
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -36,14 +36,14 @@
     outcome was met` when an outcome was not met.
     """
     refused = _record(status=503, outcome='not_run', is_whole=False)
-    cut = _record(is_whole=False)
+    truncated = _record(is_whole=False)
     late = _record(total_ms=11_000)
     successful = [_record()] * 100
     cases = [
         ([_record()], {'r1': 2}, {}, 'request r1 ran 2 times'),
         ([_record()], {}, {'k': 2}, 'idempotency key k ran 2 times'),
         ([*successful, refused], {'r1': 1}, {}, 'said not to run, and ran'),
-        ([*successful, cut], {'r1': 1}, {}, 'wrong or cut answer'),
+        ([*successful, truncated], {'r1': 1}, {}, 'wrong or cut answer'),
         ([late], {'r1': 1}, {}, 'only 0 came in time'),
     ]
     for records, runs, keys, expected in cases:
