--- a/hornbeamdeck/demo/replay.py
+++ b/hornbeamdeck/demo/replay.py
@@ -1,4 +1,4 @@
-"""Replays a trace against some addresses."""
+"""Replays a trace against a list of addresses."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeAlias
@@ -21,15 +21,18 @@
     addresses: Sequence[Address],
     on_record: OnRecord,
 ) -> None:
-    """Make each call at its time, spread over the addresses."""
-    begin_ms = now_ms()
+    """Send each call at its time in the trace, round robin over addresses.
 
-    async def _async_one(number: int, entry: TraceEntry) -> None:
+    :param on_record: called with the result of each call.
+    """
+    start_ms = now_ms()
+
+    async def _async_send_entry(number: int, entry: TraceEntry) -> None:
         address = addresses[number % len(addresses)]
         on_record(await async_call(entry, number, address))
 
     async with TaskGroup() as calls:
         for number, entry in enumerate(trace):
-            wait_ms = begin_ms + entry.at_ms - now_ms()
+            wait_ms = start_ms + entry.at_ms - now_ms()
             await sleep(max(wait_ms, 0) / MILLIS_PER_SECOND)
-            await calls.spawn(_async_one, number, entry)
+            await calls.spawn(_async_send_entry, number, entry)
