--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,9 +1,9 @@
-"""Replays a load pattern against the decisions of a cell, in model time.
+"""Replays a load pattern against the decisions of a cell, in simulated time.
 
 python -m bench.replay --load bursts_and_losses --seeds 5 --json
 
-The cell is the product's own; engines and callers are models, so that one
-decision can be tried in seconds.
+The cell is the product's own code. Engines and callers are simulated, so that
+a change to one scheduling decision can be tried in seconds.
 """
 
 import heapq
@@ -32,63 +32,67 @@
 from hornbeamdeck.version.routed import EngineTraits
 from hornbeamdeck.wire import Enqueue, Message, Progress, Release, RunEnd
 
-# From a grant to the engine, and from an engine's event to the owner.
-TO_ENGINE_MS: Final = 6.0
-TO_OWNER_MS: Final = 3.0
-# From an engine to the caller.
-TO_CALLER_MS: Final = 4.0
-SWEEP_MS: Final = 25.0
+# Delay from a grant until the request reaches the engine, and from an event at
+# the engine until its message reaches the owner.
+GRANT_TO_ENGINE_MS: Final = 6.0
+ENGINE_TO_OWNER_MS: Final = 3.0
+# Delay from an event at the engine until the caller receives it.
+ENGINE_TO_CALLER_MS: Final = 4.0
+SCAN_INTERVAL_MS: Final = 25.0
 TOKENS_PER_EVENT: Final = 5
-# Callers leave a stream that has not begun after this; an owner is told less,
-# for the way back.
-PATIENCE_MS: Final = 4000
-WAY_BACK_MS: Final = 150
+# A caller disconnects when its stream has not begun after this time. The owner
+# is sent a shorter timeout, to allow for the delay of the response.
+CLIENT_TIMEOUT_MS: Final = 4000
+RESPONSE_DELAY_MS: Final = 150
 # All teams have one priority, as in the users' deployments.
-TEAMS_PRIORITY: Final = 1
-# Part of the time left that callers wait at most before they come back.
-MAX_WAIT_SHARE: Final = 3
-# What a request costs that came back and is refused again, part of its worth.
-REFUSED_AGAIN: Final = 0.3
-# A refusal costs nothing up to this part of its objective, and its worth at
-# half from this part of the time that it had.
-FREE_SHARE: Final = 0.125
-HELD_SHARE: Final = 0.75
-LATE_REFUSAL: Final = 0.5
-# How the parts weigh in `score`, as the users weigh them.
+TEAM_PRIORITY: Final = 1
+# A refused caller retries after the delay that the refusal asks for, but at
+# most after its remaining time divided by this number.
+RETRY_WAIT_DIVISOR: Final = 3
+# Cost of refusing a request again after its retry, as a share of its value.
+REPEATED_REFUSAL_COST: Final = 0.3
+# A refusal costs nothing while the request has waited no longer than
+# FREE_REFUSAL_SHARE of its objective. From there the cost rises linearly. It
+# reaches its maximum, half the request's value, when the request has waited
+# FULL_COST_SHARE of the time that it had when the attempt began.
+FREE_REFUSAL_SHARE: Final = 0.125
+FULL_COST_SHARE: Final = 0.75
+MAX_LATE_REFUSAL_COST: Final = 0.5
+# Weights of the parts of `score`, as the users weigh them.
 MEAN_WEIGHT: Final = 0.6
-WORST_WEIGHT: Final = 0.25
-KIND_WEIGHT: Final = 0.15
-WINDOW_MS: Final = 2000
+WORST_WINDOWS_WEIGHT: Final = 0.25
+WORST_KIND_WEIGHT: Final = 0.15
+SCORE_WINDOW_MS: Final = 2000
 
 
-_Act: TypeAlias = Callable[[], None]
-_Event: TypeAlias = tuple[float, int, _Act]
+_Callback: TypeAlias = Callable[[], None]
+_ScheduledEvent: TypeAlias = tuple[float, int, _Callback]
 
 
 class Outcome(NamedTuple):
-    """What became of a request.
+    """The result of a request, or the cost of refusing its first attempt late.
 
-    :param credit: of its worth, what it earned.
-    :param cost: what refusing it cost, of the same.
+    :param earned_value: the part of the request's value that was earned.
+    :param cost: what refusing the request cost, in the same unit.
     """
 
     arrival: Arrival
     result: str
-    credit: float
+    earned_value: float
     cost: float
 
 
-class _Try:
-    """One try of a caller."""
+class _Attempt:
+    """One attempt of a caller to have a request answered."""
 
     def __init__(self, arrival: Arrival, number: int, now: float) -> None:
         self.arrival = arrival
         self.number = number
-        self.came_ms = now
+        self.arrived_ms = now
         self.engine = ''
         self.granted_ms = 0.0
-        self.first_ms = 0.0
-        self.last_ms = 0.0
+        self.first_token_ms = 0.0
+        self.last_event_ms = 0.0
         self.longest_gap_ms = 0.0
         self.excluded: list[str] = []
 
@@ -98,7 +102,7 @@
 
 
 class Replay:
-    """One replay: a clock, a cell, engines and callers."""
+    """One replay: a simulated clock, a cell, engines and callers."""
 
     def __init__(
         self,
@@ -107,69 +111,69 @@
         *,
         has_route_ranks: bool = True,
     ) -> None:
-        """Set everything up; `run` plays it.
+        """Set up the replay without running it.
 
-        :param has_route_ranks: whether the owner is told the routes' priorities
-            beside the one that all teams have.
+        :param has_route_ranks: whether requests to the owner carry the route's
+            priority, in addition to the priority that all teams share.
         """
         self.now = 0.0
         self.outcomes: list[Outcome] = []
         self._plan = plan
         self._seed = seed
         self._has_route_ranks = has_route_ranks
-        self._events: list[_Event] = []
-        self._count = 0
-        self._tries: dict[str, _Try] = {}
+        self._events: list[_ScheduledEvent] = []
+        self._event_count = 0
+        self._attempts: dict[str, _Attempt] = {}
         self._engines = {
             f'e{number}': EngineModel(slowness, plan.slots, plan.chunk_tokens)
             for number, slowness in enumerate(plan.slowness)
         }
-        self._stepping: set[str] = set()
-        self._down: set[str] = set()
+        self._stepping_engines: set[str] = set()
+        self._down_engines: set[str] = set()
         self._cell = _make_cell(plan)
 
     def run(self) -> list[Outcome]:
-        """Play to the end.
+        """Run the replay until no event is left.
 
-        :returns: what became of each request.
+        :returns: the outcomes of all requests.
         """
         for arrival in draw_arrivals(self._plan, self._seed):
-            self._at(arrival.at_ms, partial(self._come, arrival, 1))
+            self._schedule(arrival.at_ms, partial(self._arrive, arrival, 1))
         for loss in self._plan.losses:
-            self._at(loss.at_s * 1000, partial(self._crash, loss))
-        self._at(SWEEP_MS, self._sweep)
+            self._schedule(loss.at_s * 1000, partial(self._crash, loss))
+        self._schedule(SCAN_INTERVAL_MS, self._scan)
         while self._events:
             event = heapq.heappop(self._events)
             self.now = event[0]
             event[2]()
         return self.outcomes
 
-    def _at(self, when_ms: float, act: _Act) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (when_ms, self._count, act))
+    def _schedule(self, at_ms: float, callback: _Callback) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at_ms, self._event_count, callback))
 
-    def _sweep(self) -> None:
+    def _scan(self) -> None:
         self._grant()
         if self._events:
-            self._at(self.now + SWEEP_MS, self._sweep)
+            self._schedule(self.now + SCAN_INTERVAL_MS, self._scan)
 
-    def _come(self, arrival: Arrival, number: int) -> None:
-        attempt = _Try(arrival, number, self.now)
-        self._tries[attempt.request_id] = attempt
+    def _arrive(self, arrival: Arrival, number: int) -> None:
+        attempt = _Attempt(arrival, number, self.now)
+        self._attempts[attempt.request_id] = attempt
         self._offer(attempt)
 
-    def _offer(self, attempt: _Try) -> None:
+    def _offer(self, attempt: _Attempt) -> None:
         refused = self._cell.offer(
             self._to_enqueue(attempt),
             sender='ingress',
-            deliver=_async_ignore,
+            deliver=_async_discard,
             now=self.now,
         )
         if refused is not None:
             self._refuse(refused)
         self._grant()
 
-    def _to_enqueue(self, attempt: _Try) -> Enqueue:
+    def _to_enqueue(self, attempt: _Attempt) -> Enqueue:
         arrival = attempt.arrival
         kind = arrival.kind
         left_ms = int(arrival.at_ms + kind.deadline_ms - self.now)
@@ -177,14 +181,14 @@
             request_id=attempt.request_id,
             cell='desk',
             team='',
-            tier_rank=TEAMS_PRIORITY,
+            tier_rank=TEAM_PRIORITY,
             deadline_ms=left_ms,
             prompt_tokens=arrival.prompt_tokens,
             output_tokens=arrival.hint_tokens,
             excluded=list(attempt.excluded),
             fingerprint=arrival.request_id,
             objective_ms=kind.objective_ms,
-            patience_ms=min(left_ms, PATIENCE_MS) - WAY_BACK_MS,
+            patience_ms=min(left_ms, CLIENT_TIMEOUT_MS) - RESPONSE_DELAY_MS,
             gap_ms=kind.gap_ms,
             quota_tokens=arrival.prompt_tokens + arrival.max_tokens,
             dispatches=0,
@@ -196,18 +200,18 @@
         for refused in list(self._cell.expire(self.now)):
             self._refuse(refused)
         for granted in list(self._cell.grants(self.now)):
-            attempt = self._tries[granted.ticket.request.request_id]
+            attempt = self._attempts[granted.ticket.request.request_id]
             attempt.engine = granted.upstream
             attempt.granted_ms = self.now
-            self._at(
-                self.now + TO_ENGINE_MS,
-                partial(self._reach, attempt),
+            self._schedule(
+                self.now + GRANT_TO_ENGINE_MS,
+                partial(self._reach_engine, attempt),
             )
 
-    def _reach(self, attempt: _Try) -> None:
-        if attempt.request_id not in self._tries:
+    def _reach_engine(self, attempt: _Attempt) -> None:
+        if attempt.request_id not in self._attempts:
             return
-        if attempt.engine in self._down:
+        if attempt.engine in self._down_engines:
             self._retry_on_another_engine(attempt)
             return
         arrival = attempt.arrival
@@ -218,11 +222,11 @@
                 arrival.output_tokens,
             ),
         )
-        if attempt.engine not in self._stepping:
-            self._stepping.add(attempt.engine)
+        if attempt.engine not in self._stepping_engines:
+            self._stepping_engines.add(attempt.engine)
             self._step(attempt.engine)
 
-    def _retry_on_another_engine(self, attempt: _Try) -> None:
+    def _retry_on_another_engine(self, attempt: _Attempt) -> None:
         """Release a grant whose engine refuses connections; enqueue again."""
         release = Release(
             request_id=attempt.request_id,
@@ -232,62 +236,66 @@
         )
         attempt.excluded.append(attempt.engine)
         attempt.engine = ''
-        self._at(self.now + TO_OWNER_MS, partial(self._release, release))
-        self._at(self.now + TO_OWNER_MS, partial(self._offer, attempt))
+        self._schedule(
+            self.now + ENGINE_TO_OWNER_MS, partial(self._release, release)
+        )
+        self._schedule(
+            self.now + ENGINE_TO_OWNER_MS, partial(self._offer, attempt)
+        )
 
     def _step(self, name: str) -> None:
         engine = self._engines[name]
-        if engine.is_idle or name in self._down:
-            self._stepping.discard(name)
+        if engine.is_idle or name in self._down_engines:
+            self._stepping_engines.discard(name)
             return
         end_ms, tokens = engine.step(self.now)
         for token in tokens:
             if (
-                token.made == 1
+                token.number == 1
                 or token.is_last
-                or not (token.made % TOKENS_PER_EVENT)
+                or not (token.number % TOKENS_PER_EVENT)
             ):
-                self._at(token.at_ms, partial(self._event, token))
-        self._at(end_ms, partial(self._step, name))
+                self._schedule(token.at_ms, partial(self._handle_token, token))
+        self._schedule(end_ms, partial(self._step, name))
 
-    def _event(self, token: Token) -> None:
-        attempt = self._tries.get(token.request_id)
+    def _handle_token(self, token: Token) -> None:
+        attempt = self._attempts.get(token.request_id)
         if attempt is None or not attempt.engine:
             return
-        if attempt.first_ms:
-            gap_ms = self.now - attempt.last_ms
+        if attempt.first_token_ms:
+            gap_ms = self.now - attempt.last_event_ms
             attempt.longest_gap_ms = max(attempt.longest_gap_ms, gap_ms)
         else:
-            attempt.first_ms = self.now
-            took_ms = int(self.now - attempt.granted_ms)
-            self._at(
-                self.now + TO_OWNER_MS,
-                partial(self._tell_first, attempt, took_ms),
+            attempt.first_token_ms = self.now
+            elapsed_ms = int(self.now - attempt.granted_ms)
+            self._schedule(
+                self.now + ENGINE_TO_OWNER_MS,
+                partial(self._report_first_token, attempt, elapsed_ms),
             )
-        attempt.last_ms = self.now
+        attempt.last_event_ms = self.now
         if token.is_last:
-            self._end(attempt, _judge(attempt), RunEnd.ANSWERED)
+            self._finish(attempt, _judge(attempt), RunEnd.ANSWERED)
 
-    def _tell_first(self, attempt: _Try, took_ms: int) -> None:
+    def _report_first_token(self, attempt: _Attempt, elapsed_ms: int) -> None:
         message = Progress(
             request_id=attempt.request_id,
             cell='desk',
-            first_token_ms=took_ms,
+            first_token_ms=elapsed_ms,
         )
         self._cell.progress(message, self.now)
 
-    def _end(self, attempt: _Try, result: str, end: RunEnd) -> None:
-        if self._tries.pop(attempt.request_id, None) is None:
+    def _finish(self, attempt: _Attempt, result: str, end: RunEnd) -> None:
+        if self._attempts.pop(attempt.request_id, None) is None:
             return
         arrival = attempt.arrival
-        credits = {
-            'on_time': arrival.worth,
-            'late': arrival.worth
+        earned_values = {
+            'on_time': arrival.value,
+            'late': arrival.value
             * arrival.kind.late_worth
             / arrival.kind.worth,
         }
-        credit = credits.get(result, 0.0)
-        self.outcomes.append(Outcome(arrival, result, credit, 0.0))
+        earned_value = earned_values.get(result, 0.0)
+        self.outcomes.append(Outcome(arrival, result, earned_value, 0.0))
         release = Release(
             request_id=attempt.request_id,
             cell='desk',
@@ -295,63 +303,79 @@
             total_ms=0,
             longest_gap_ms=int(attempt.longest_gap_ms),
         )
-        self._at(self.now + TO_OWNER_MS, partial(self._release, release))
+        self._schedule(
+            self.now + ENGINE_TO_OWNER_MS, partial(self._release, release)
+        )
 
     def _release(self, release: Release) -> None:
         self._cell.release(release, self.now)
         self._grant()
 
     def _refuse(self, refused: Refused) -> None:
-        attempt = self._tries.pop(refused.ticket.request.request_id)
+        attempt = self._attempts.pop(refused.ticket.request.request_id)
         arrival = attempt.arrival
         kind = arrival.kind
-        held_ms = self.now - attempt.came_ms
+        waited_ms = self.now - attempt.arrived_ms
         left_ms = arrival.at_ms + kind.deadline_ms - self.now
-        had_ms = left_ms + held_ms
-        over_ms = held_ms - kind.objective_ms * FREE_SHARE
+        available_ms = left_ms + waited_ms
+        costly_ms = waited_ms - kind.objective_ms * FREE_REFUSAL_SHARE
         cost = 0.0
-        if over_ms > 0:
-            span_ms = had_ms * HELD_SHARE - kind.objective_ms * FREE_SHARE
-            cost = LATE_REFUSAL * min(over_ms / span_ms, 1) * arrival.worth
+        if costly_ms > 0:
+            span_ms = (
+                available_ms * FULL_COST_SHARE
+                - kind.objective_ms * FREE_REFUSAL_SHARE
+            )
+            cost = (
+                MAX_LATE_REFUSAL_COST
+                * min(costly_ms / span_ms, 1)
+                * arrival.value
+            )
         if attempt.number == 1:
             wait_ms = min(
                 refused.refusal.retry_after_ms,
-                left_ms / MAX_WAIT_SHARE,
+                left_ms / RETRY_WAIT_DIVISOR,
+            )
+            self._schedule(
+                self.now + wait_ms, partial(self._arrive, arrival, 2)
             )
-            self._at(self.now + wait_ms, partial(self._come, arrival, 2))
             if cost:
                 self.outcomes.append(Outcome(arrival, 'held', 0.0, cost))
             return
-        cost += REFUSED_AGAIN * arrival.worth
+        cost += REPEATED_REFUSAL_COST * arrival.value
         self.outcomes.append(Outcome(arrival, 'refused', 0.0, cost))
 
     def _crash(self, loss: Loss) -> None:
         name = f'e{loss.engine}'
-        self._down.add(name)
+        self._down_engines.add(name)
         self._engines[name].crash()
-        broken = [
+        interrupted = [
             attempt
-            for attempt in self._tries.values()
+            for attempt in self._attempts.values()
             if attempt.engine == name
         ]
-        for attempt in broken:
-            self._end(attempt, 'broken', RunEnd.FAILED)
-        self._at(
+        for attempt in interrupted:
+            self._finish(attempt, 'broken', RunEnd.FAILED)
+        self._schedule(
             self.now + loss.for_s * 1000,
-            partial(self._down.discard, name),
+            partial(self._down_engines.discard, name),
         )
 
 
-async def _async_ignore(_message: Message) -> None:
-    """Deliver to nobody: the replay reads what the cell gives back."""
+async def _async_discard(_message: Message) -> None:
+    """Discard a message: the replay uses the cell's return values instead."""
 
 
-def _judge(attempt: _Try) -> str:
+def _judge(attempt: _Attempt) -> str:
     kind = attempt.arrival.kind
-    first_ms = attempt.first_ms + TO_CALLER_MS - attempt.arrival.at_ms
-    if attempt.first_ms - attempt.came_ms > PATIENCE_MS:
+    first_token_delay_ms = (
+        attempt.first_token_ms + ENGINE_TO_CALLER_MS - attempt.arrival.at_ms
+    )
+    if attempt.first_token_ms - attempt.arrived_ms > CLIENT_TIMEOUT_MS:
         return 'left'
-    if first_ms > kind.objective_ms or attempt.longest_gap_ms > kind.gap_ms:
+    if (
+        first_token_delay_ms > kind.objective_ms
+        or attempt.longest_gap_ms > kind.gap_ms
+    ):
         return 'late'
     return 'on_time'
 
@@ -384,8 +408,8 @@
 
 
 def summarize(outcomes: list[Outcome]) -> dict[str, Any]:
-    """Work out shares of worth and what became of the requests."""
-    owed: dict[str, float] = defaultdict(float)
+    """Compute the score, the shares of value earned and the result counts."""
+    offered: dict[str, float] = defaultdict(float)
     earned: dict[str, float] = defaultdict(float)
     windows: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
     results: dict[str, int] = defaultdict(int)
@@ -395,19 +419,19 @@
         if outcome.result == 'held':
             continue
         arrival = outcome.arrival
-        owed[arrival.kind.name] += arrival.worth
-        earned[arrival.kind.name] += outcome.credit
+        offered[arrival.kind.name] += arrival.value
+        earned[arrival.kind.name] += outcome.earned_value
         results[f'{arrival.kind.name} {outcome.result}'] += 1
-        window = windows[int(arrival.at_ms) // WINDOW_MS]
-        window[0] += outcome.credit
-        window[1] += arrival.worth
-    total = sum(owed.values())
-    shares = {kind: earned[kind] / owed[kind] for kind in owed}
+        window = windows[int(arrival.at_ms) // SCORE_WINDOW_MS]
+        window[0] += outcome.earned_value
+        window[1] += arrival.value
+    total = sum(offered.values())
+    shares = {kind: earned[kind] / offered[kind] for kind in offered}
     shares |= _largest_shares(outcomes)
-    worst = sorted(credit / worth for credit, worth in windows.values())[:2]
+    worst = sorted(gain / value for gain, value in windows.values())[:2]
     mean = sum(earned.values()) / total
-    score = MEAN_WEIGHT * mean + WORST_WEIGHT * statistics.mean(worst)
-    score += KIND_WEIGHT * min(shares.values()) - cost / total
+    score = MEAN_WEIGHT * mean + WORST_WINDOWS_WEIGHT * statistics.mean(worst)
+    score += WORST_KIND_WEIGHT * min(shares.values()) - cost / total
     return {
         'score': round(score, 4),
         'mean': round(mean, 4),
@@ -419,7 +443,7 @@
 
 
 def _largest_shares(outcomes: list[Outcome]) -> dict[str, float]:
-    """Work out the shares of the largest tenth of each kind."""
+    """Compute the shares earned by the largest tenth of each kind."""
     by_kind: dict[str, list[Outcome]] = defaultdict(list)
     for outcome in outcomes:
         if outcome.result != 'held':
@@ -428,9 +452,9 @@
     for kind, all_of_kind in by_kind.items():
         all_of_kind.sort(key=lambda each: -each.arrival.prompt_tokens)
         largest = all_of_kind[: len(all_of_kind) // 10]
-        worth = sum(each.arrival.worth for each in largest)
-        credit = sum(each.credit for each in largest)
-        shares[f'largest {kind}'] = credit / worth
+        value = sum(each.arrival.value for each in largest)
+        earned = sum(each.earned_value for each in largest)
+        shares[f'largest {kind}'] = earned / value
     return shares
 
 
@@ -440,7 +464,7 @@
     *,
     json: bool = False,
 ) -> None:
-    """Replay a pattern with several seeds and print what came of it."""
+    """Replay a load pattern with several seeds and print the scores."""
     plan = LoadPlan.from_name(load)
     rows = [summarize(Replay(plan, seed).run()) for seed in range(seeds)]
     mean = statistics.mean(row['score'] for row in rows)
--- a/bench/replay_engine.py
+++ b/bench/replay_engine.py
@@ -1,4 +1,4 @@
-"""A model of one engine: steps, chunked prefill, a batch that shares both."""
+"""A model of one engine that steps a batch and prefills prompts in chunks."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -6,20 +6,21 @@
 
 __all__ = ('EngineModel', 'RunPlan', 'Token')
 
-# An engine of slowness 1: a step, what each run adds to it, and prefill, as
-# the sheets of the deployments give them.
+# Timing of an engine of slowness 1, from the deployments' data sheets: a step,
+# what each run in the batch adds to it, and prefill.
 STEP_MS: Final = 3.37
 STEP_MS_PER_RUN: Final = 0.0109
 PREFILL_TOKENS_PER_MS: Final = 61.2
-PAIRS_MS_PER_MILLION: Final = 0.324
-FIRST_MS: Final = 6.0
+ATTENTION_MS_PER_MILLION_PAIRS: Final = 0.324
+PREFILL_START_MS: Final = 6.0
 MILLION: Final = 1_000_000
 
 
 class RunPlan(NamedTuple):
-    """What one request costs an engine.
+    """The work that one request causes at an engine.
 
-    :param output_tokens: tokens that it makes, not what it was allowed to.
+    :param output_tokens: tokens that the run generates, not the limit that the
+        caller set.
     """
 
     request_id: str
@@ -28,33 +29,33 @@
 
 
 class Token(NamedTuple):
-    """A token that was made.
+    """A generated token.
 
-    :param made: how many its run has made with it.
+    :param number: its position in the run's output, counted from 1.
     """
 
     request_id: str
     at_ms: float
-    made: int
+    number: int
     is_last: bool
 
 
 class _Run:
-    """A run in the batch."""
+    """The progress of one run in the batch."""
 
     def __init__(self, plan: RunPlan) -> None:
         self.plan = plan
-        self.read = 0
-        self.made = 0
+        self.prefilled_tokens = 0
+        self.generated_tokens = 0
 
 
 class EngineModel:
-    """Runs a batch step by step; time is its own and given from outside."""
+    """Runs a batch step by step; the caller passes the current time."""
 
     def __init__(self, slowness: float, slots: int, chunk_tokens: int) -> None:
-        """Start idle.
+        """Create an idle engine.
 
-        :param chunk_tokens: of prompts, read in one step at most.
+        :param chunk_tokens: prompt tokens prefilled in one step at most.
         """
         self._slowness = slowness
         self._slots = slots
@@ -68,58 +69,63 @@
         return not self._runs and not self._queue
 
     def accept(self, plan: RunPlan) -> None:
-        """Take a request into the batch, or behind it."""
+        """Queue a request; it joins the batch when a slot is free."""
         self._queue.append(plan)
 
     def crash(self) -> None:
-        """Lose everything."""
+        """Drop all runs and all queued requests."""
         self._runs.clear()
         self._queue.clear()
 
     def step(self, now: float) -> tuple[float, list[Token]]:
-        """Do one step.
+        """Run one step.
 
-        :returns: when it ends, and the tokens made by then.
+        :returns: when the step ends, and the tokens that it generated.
         """
         while self._queue and len(self._runs) < self._slots:
             plan = self._queue.popleft()
             self._runs[plan.request_id] = _Run(plan)
-        ready = [run for run in self._runs.values() if _is_read(run)]
-        took_ms = STEP_MS + STEP_MS_PER_RUN * len(self._runs)
-        took_ms += self._prefill_chunk()
-        end_ms = now + took_ms * self._slowness
-        # A prompt's last chunk makes its first token.
+        ready = [run for run in self._runs.values() if _is_prefilled(run)]
+        step_ms = STEP_MS + STEP_MS_PER_RUN * len(self._runs)
+        step_ms += self._prefill_chunk()
+        end_ms = now + step_ms * self._slowness
+        # The step that prefills a prompt's last chunk generates its first
+        # output token.
         ready += [
             run
             for run in self._runs.values()
-            if _is_read(run) and run not in ready
+            if _is_prefilled(run) and run not in ready
         ]
-        return end_ms, list(self._make(ready, end_ms))
+        return end_ms, list(self._generate(ready, end_ms))
 
     def _prefill_chunk(self) -> float:
-        budget = self._chunk_tokens
-        took_ms = 0.0
+        budget_tokens = self._chunk_tokens
+        prefill_ms = 0.0
         for run in self._runs.values():
-            if _is_read(run) or not budget:
+            if _is_prefilled(run) or not budget_tokens:
                 continue
-            if not run.read:
-                took_ms += FIRST_MS
-            chunk = min(budget, run.plan.prompt_tokens - run.read)
-            pairs = chunk * (run.read + chunk / 2) / MILLION
-            took_ms += chunk / PREFILL_TOKENS_PER_MS
-            took_ms += pairs * PAIRS_MS_PER_MILLION
-            run.read += chunk
-            budget -= chunk
-        return took_ms
-
-    def _make(self, ready: list[_Run], end_ms: float) -> Iterator[Token]:
+            if not run.prefilled_tokens:
+                prefill_ms += PREFILL_START_MS
+            chunk = min(
+                budget_tokens, run.plan.prompt_tokens - run.prefilled_tokens
+            )
+            pairs = chunk * (run.prefilled_tokens + chunk / 2) / MILLION
+            prefill_ms += chunk / PREFILL_TOKENS_PER_MS
+            prefill_ms += pairs * ATTENTION_MS_PER_MILLION_PAIRS
+            run.prefilled_tokens += chunk
+            budget_tokens -= chunk
+        return prefill_ms
+
+    def _generate(self, ready: list[_Run], end_ms: float) -> Iterator[Token]:
         for run in ready:
-            run.made += 1
-            is_last = run.made >= run.plan.output_tokens
+            run.generated_tokens += 1
+            is_last = run.generated_tokens >= run.plan.output_tokens
             if is_last:
                 self._runs.pop(run.plan.request_id)
-            yield Token(run.plan.request_id, end_ms, run.made, is_last)
+            yield Token(
+                run.plan.request_id, end_ms, run.generated_tokens, is_last
+            )
 
 
-def _is_read(run: _Run) -> bool:
-    return run.read >= run.plan.prompt_tokens
+def _is_prefilled(run: _Run) -> bool:
+    return run.prefilled_tokens >= run.plan.prompt_tokens
--- a/bench/replay_load.py
+++ b/bench/replay_load.py
@@ -1,4 +1,4 @@
-"""Load patterns for the replay: kinds of requests, bursts, engines lost."""
+"""Load patterns for the replay: kinds of requests, bursts, engine crashes."""
 
 import json
 import math
@@ -9,25 +9,27 @@
 
 __all__ = ('Arrival', 'Kind', 'LoadPlan', 'draw_arrivals')
 
-LOADS: Final = Path(__file__).parent / 'loads'
-# The longest length, as a multiple of the mean.
-MAX_FACTOR: Final = 10
-MIN_TOKENS: Final = 8
-# What an output token counts in a request's size, against a prompt token.
-OUTPUT_WEIGHT: Final = 10
-FIXED_WORTH: Final = 0.3
-# What engines read in one step where a pattern does not say.
-CHUNK_TOKENS: Final = 4096
-MAX_WORTH: Final = 4.0
+LOADS_FOLDER: Final = Path(__file__).parent / 'loads'
+# Upper limit of a drawn length, as a multiple of the mean.
+MAX_LENGTH_FACTOR: Final = 10
+MIN_LENGTH_TOKENS: Final = 8
+# Weight of an output token in a request's size; a prompt token weighs 1.
+OUTPUT_TOKEN_WEIGHT: Final = 10
+# Share of a kind's value that does not depend on the request's size.
+FIXED_VALUE_SHARE: Final = 0.3
+# Prompt tokens that an engine prefills in one step at most, where a pattern
+# does not set them.
+DEFAULT_CHUNK_TOKENS: Final = 4096
+MAX_VALUE_FACTOR: Final = 4.0
 
 
 class Kind(NamedTuple):
-    """A kind of request, lengths drawn log-normally.
+    """A kind of request, with log-normally distributed lengths.
 
-    :param prompt_spread: ratio of a length one standard deviation above the
-        median to the median, as a logarithm.
-    :param output_spread: the same for what is made.
-    :param hint_spread: the same for the caller's guess of what is made.
+    :param prompt_spread: standard deviation of the logarithm of the prompt's
+        length.
+    :param output_spread: the same for the generated output.
+    :param hint_spread: the same for the caller's estimate of the output.
     """
 
     name: str
@@ -46,7 +48,7 @@
 
 
 class Burst(NamedTuple):
-    """More of some kind for a while; `kind` empty: of all."""
+    """A higher rate of one kind for a while; an empty `kind` means all."""
 
     at_s: float
     for_s: float
@@ -55,7 +57,7 @@
 
 
 class Loss(NamedTuple):
-    """An engine that crashes and is back after a while."""
+    """A crash of an engine that is up again after `for_s`."""
 
     at_s: float
     for_s: float
@@ -63,9 +65,10 @@
 
 
 class LoadPlan(NamedTuple):
-    """A load pattern, as its file in `bench/loads` holds it.
+    """A load pattern, as stored in its file in `bench/loads`.
 
-    :param chunk_tokens: of prompts, that an engine reads in one step at most.
+    :param chunk_tokens: prompt tokens that an engine prefills in one step at
+        most.
     """
 
     duration_s: float
@@ -78,8 +81,10 @@
 
     @classmethod
     def from_name(cls, name: str) -> Self:
-        """Read a pattern by its file's name without the ending."""
-        raw: dict[str, Any] = json.loads((LOADS / f'{name}.json').read_text())
+        """Read the pattern from its file, named without the `.json` suffix."""
+        raw: dict[str, Any] = json.loads(
+            (LOADS_FOLDER / f'{name}.json').read_text()
+        )
         return cls(
             duration_s=raw['duration_s'],
             slots=raw['slots'],
@@ -87,15 +92,15 @@
             kinds=tuple(Kind(**each) for each in raw['kinds']),
             bursts=tuple(Burst(**each) for each in raw['bursts']),
             losses=tuple(Loss(**each) for each in raw['losses']),
-            chunk_tokens=raw.get('chunk_tokens', CHUNK_TOKENS),
+            chunk_tokens=raw.get('chunk_tokens', DEFAULT_CHUNK_TOKENS),
         )
 
 
 class Arrival(NamedTuple):
     """A request as a caller first sends it.
 
-    :param worth: what its answer on time is worth, by its size.
-    :param hint_tokens: the caller's guess of its output.
+    :param hint_tokens: the caller's estimate of the output's length.
+    :param value: value of a response on time; it depends on the request's size.
     """
 
     request_id: str
@@ -105,46 +110,48 @@
     output_tokens: int
     max_tokens: int
     hint_tokens: int
-    worth: float
+    value: float
 
 
 def draw_arrivals(plan: LoadPlan, seed: int) -> list[Arrival]:
-    """Draw all arrivals of a pattern, in order of time."""
-    draw = random.Random(seed)
+    """Draw all arrivals of a pattern, sorted by time."""
+    rng = random.Random(seed)
     arrivals = [
-        arrival for kind in plan.kinds for arrival in _of_kind(plan, kind, draw)
+        arrival
+        for kind in plan.kinds
+        for arrival in _draw_arrivals_of_kind(plan, kind, rng)
     ]
     return sorted(arrivals, key=lambda arrival: arrival.at_ms)
 
 
-def _of_kind(
+def _draw_arrivals_of_kind(
     plan: LoadPlan,
     kind: Kind,
-    draw: random.Random,
+    rng: random.Random,
 ) -> Iterator[Arrival]:
     at_s = 0.0
     count = 0
     while at_s < plan.duration_s:
-        times = _times(plan, kind, at_s)
-        at_s += draw.expovariate(kind.per_s * times)
+        factor = _rate_factor(plan, kind, at_s)
+        at_s += rng.expovariate(kind.per_s * factor)
         count += 1
-        yield _draw_one(kind, f'{kind.name}-{count}', at_s * 1000, draw)
+        yield _draw_arrival(kind, f'{kind.name}-{count}', at_s * 1000, rng)
 
 
-def _draw_one(
+def _draw_arrival(
     kind: Kind,
     request_id: str,
     at_ms: float,
-    draw: random.Random,
+    rng: random.Random,
 ) -> Arrival:
-    prompt = _length(kind.prompt_tokens, kind.prompt_spread, draw)
-    output = _length(kind.output_tokens, kind.output_spread, draw)
-    hint = int(output * math.exp(draw.gauss(0, kind.hint_spread)))
-    # Callers allow the same for all requests of a kind.
-    max_tokens = int(kind.output_tokens * MAX_FACTOR)
-    size = prompt + OUTPUT_WEIGHT * max_tokens
-    mean = kind.prompt_tokens + OUTPUT_WEIGHT * max_tokens
-    worth = FIXED_WORTH + (1 - FIXED_WORTH) * size / mean
+    prompt = _draw_length(kind.prompt_tokens, kind.prompt_spread, rng)
+    output = _draw_length(kind.output_tokens, kind.output_spread, rng)
+    hint = int(output * math.exp(rng.gauss(0, kind.hint_spread)))
+    # Callers set the same output limit for all requests of a kind.
+    max_tokens = int(kind.output_tokens * MAX_LENGTH_FACTOR)
+    size = prompt + OUTPUT_TOKEN_WEIGHT * max_tokens
+    mean_size = kind.prompt_tokens + OUTPUT_TOKEN_WEIGHT * max_tokens
+    value = FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * size / mean_size
     return Arrival(
         request_id=request_id,
         kind=kind,
@@ -153,20 +160,20 @@
         output_tokens=output,
         max_tokens=max_tokens,
         hint_tokens=max(hint, 1),
-        worth=min(worth, MAX_WORTH) * kind.worth,
+        value=min(value, MAX_VALUE_FACTOR) * kind.worth,
     )
 
 
-def _length(mean: float, spread: float, draw: random.Random) -> int:
+def _draw_length(mean: float, spread: float, rng: random.Random) -> int:
     median = mean / math.exp(spread * spread / 2)
-    drawn = median * math.exp(draw.gauss(0, spread))
-    return max(int(min(drawn, mean * MAX_FACTOR)), MIN_TOKENS)
+    drawn = median * math.exp(rng.gauss(0, spread))
+    return max(int(min(drawn, mean * MAX_LENGTH_FACTOR)), MIN_LENGTH_TOKENS)
 
 
-def _times(plan: LoadPlan, kind: Kind, at_s: float) -> float:
-    times = 1.0
+def _rate_factor(plan: LoadPlan, kind: Kind, at_s: float) -> float:
+    factor = 1.0
     for burst in plan.bursts:
-        is_now = burst.at_s <= at_s < burst.at_s + burst.for_s
-        if is_now and burst.kind in {'', kind.name}:
-            times *= burst.times
-    return times
+        is_active = burst.at_s <= at_s < burst.at_s + burst.for_s
+        if is_active and burst.kind in {'', kind.name}:
+            factor *= burst.times
+    return factor
