--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches; each prints one JSON object with `--json`."""
+"""Benchmarks; those with a `--json` flag can print one JSON object."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,7 @@
-"""Slopes for docs/CAPACITY.md: `python -m bench.capacity --json`."""
+"""Measures how costs grow with size, for docs/CAPACITY.md.
+
+python -m bench.capacity --json
+"""
 
 import gc
 import hashlib
@@ -13,7 +16,7 @@
 import fire
 
 from bench.processes import Plan, ProcessFleet, ask, process_fleet
-from bench.worker import SHORT
+from bench.worker import SHORT_CALL
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import async_fetch_once
 from hornbeamdeck.connection.http import HttpRequest
@@ -39,55 +42,57 @@
     encode_frame,
 )
 
-MEMBERS: Final = (13, 130, 390)
-TEAMS: Final = (1000, 10_000, 33_000)
-WAITING: Final = (10, 100, 1000)
-UPSTREAMS: Final = (4, 12, 36)
-FLEETS: Final = (2, 4, 8)
+MEMBER_COUNTS: Final = (13, 130, 390)
+TEAM_COUNTS: Final = (1000, 10_000, 33_000)
+WAITING_COUNTS: Final = (10, 100, 1000)
+UPSTREAM_COUNTS: Final = (4, 12, 36)
+FLEET_SIZES: Final = (2, 4, 8)
 ROUNDS: Final = 2000
-IDLE_S: Final = 10.0
-CALLS: Final = 200
+IDLE_DURATION_S: Final = 10.0
+CALL_COUNT: Final = 200
 CELL: Final = 'desk'
 ID_CHARS: Final = 32
 FINGERPRINT_CHARS: Final = 16
-EXTRA: Final = range(1_000_000, 1_000_500)
+EXTRA_REQUEST_NUMBERS: Final = range(1_000_000, 1_000_500)
 
 Figures = dict[str, Any]
 
 
-def _micros(work: Callable[[], object], rounds: int) -> float:
-    begin = time.perf_counter()
+def _mean_us(action: Callable[[], object], rounds: int) -> float:
+    begin_s = time.perf_counter()
     for _ in range(rounds):
-        work()
-    return round((time.perf_counter() - begin) * 1_000_000 / rounds, 1)
+        action()
+    return round((time.perf_counter() - begin_s) * 1_000_000 / rounds, 1)
 
 
-def _grown_bytes(make: Callable[[], object]) -> int:
+def _allocated_bytes(build: Callable[[], object]) -> int:
     gc.collect()
     tracemalloc.start()
-    kept = [make()]
+    retained = [build()]
     gc.collect()
-    grown, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    kept.clear()
-    return grown
+    retained.clear()
+    return allocated
 
 
-def members() -> list[Figures]:
-    """Measure finding an owner and the state held, by live instances."""
-    return [_members(count) for count in MEMBERS]
+def measure_membership() -> list[Figures]:
+    """Measure owner lookup and membership state, by number of instances."""
+    return [_measure_members(count) for count in MEMBER_COUNTS]
 
 
-def _members(count: int) -> Figures:
-    membership = _membership(count)
+def _measure_members(count: int) -> Figures:
+    membership = _make_membership(count)
     return {
         'instances': count,
-        'owner_of_us': _micros(lambda: membership.owner_of(CELL), ROUNDS // 10),
-        'state_bytes': _grown_bytes(lambda: _membership(count)),
+        'owner_of_us': _mean_us(
+            lambda: membership.owner_of(CELL), ROUNDS // 10
+        ),
+        'state_bytes': _allocated_bytes(lambda: _make_membership(count)),
     }
 
 
-def _membership(count: int) -> Membership:
+def _make_membership(count: int) -> Membership:
     address = Address('127.0.0.1', 1)
     own = InstanceStatus('i0', address, address, 'z', 'x', STATE_LIVE)
     membership = Membership(own)
@@ -98,12 +103,12 @@
     return membership
 
 
-def teams() -> list[Figures]:
-    """Measure the document and its adoption, by teams."""
-    return [_teams(count) for count in TEAMS]
+def measure_configuration() -> list[Figures]:
+    """Measure the configuration and its parsing, by number of teams."""
+    return [_measure_teams(count) for count in TEAM_COUNTS]
 
 
-def _document(count: int) -> str:
+def _make_document_text(count: int) -> str:
     address = Address('127.0.0.1', 1)
     raw = make_document([address], [], max_running=1, max_prompt_tokens=1)
     model = raw['teams'][0]
@@ -118,8 +123,8 @@
     return json.dumps(raw)
 
 
-def _teams(count: int) -> Figures:
-    document = _document(count)
+def _measure_teams(count: int) -> Figures:
+    document = _make_document_text(count)
 
     def _parse() -> Configuration:
         return parse_document(document, version=1).unwrap()
@@ -127,16 +132,16 @@
     return {
         'teams': count,
         'document_bytes': len(document),
-        'adopt_ms': round(_micros(_parse, 2) / 1000, 1),
-        'state_bytes': _grown_bytes(_parse),
+        'adopt_ms': round(_mean_us(_parse, 2) / 1000, 1),
+        'state_bytes': _allocated_bytes(_parse),
     }
 
 
-async def _async_nowhere(_message: Message) -> None:
-    """Deliver to nobody."""
+async def _async_discard(_message: Message) -> None:
+    """Discard a message."""
 
 
-def _request(number: int) -> Enqueue:
+def _make_request(number: int) -> Enqueue:
     return Enqueue(
         request_id=f'{number:032x}',
         cell=CELL,
@@ -150,7 +155,7 @@
     )
 
 
-def _cell(upstreams: int) -> Cell:
+def _make_cell(upstreams: int) -> Cell:
     raw = make_document(
         [Address('127.0.0.1', 1000 + each) for each in range(upstreams)],
         [],
@@ -164,72 +169,75 @@
 
 
 def _offer(cell: Cell, number: int) -> None:
-    cell.offer(_request(number), sender='s', deliver=_async_nowhere, now=0)
+    cell.offer(_make_request(number), sender='s', deliver=_async_discard, now=0)
 
 
 def _offer_many(cell: Cell) -> None:
-    for number in EXTRA:
+    for number in EXTRA_REQUEST_NUMBERS:
         _offer(cell, number)
 
 
-def _granted(cell: Cell) -> list[str]:
+def _grant_waiting(cell: Cell) -> list[str]:
     return [each.ticket.request.request_id for each in cell.grants(0)]
 
 
-def decisions() -> list[Figures]:
-    """Measure a request's way through a cell, by waiting ones."""
+def measure_decisions() -> list[Figures]:
+    """Measure the cost of one request, by queue length and upstreams."""
     return [
-        _decisions(waiting, upstreams)
+        _measure_cell(waiting, upstreams)
         for waiting, upstreams in (
-            *((waiting, UPSTREAMS[0]) for waiting in WAITING),
-            *((WAITING[1], upstreams) for upstreams in UPSTREAMS[1:]),
+            *((waiting, UPSTREAM_COUNTS[0]) for waiting in WAITING_COUNTS),
+            *(
+                (WAITING_COUNTS[1], upstreams)
+                for upstreams in UPSTREAM_COUNTS[1:]
+            ),
         )
     ]
 
 
-def _decisions(waiting: int, upstreams: int) -> Figures:
-    cell = _cell(upstreams)
+def _measure_cell(waiting: int, upstreams: int) -> Figures:
+    cell = _make_cell(upstreams)
     for number in range(waiting + 4 * upstreams):
         _offer(cell, number)
-    running = _granted(cell)
-    state = _grown_bytes(partial(_offer_many, cell))
-    for number in EXTRA:
+    granted_ids = _grant_waiting(cell)
+    extra_bytes = _allocated_bytes(partial(_offer_many, cell))
+    for number in EXTRA_REQUEST_NUMBERS:
         cell.withdraw(f'{number:032x}')
-    numbers = iter(range(10**7, 10**8))
+    new_numbers = iter(range(10**7, 10**8))
 
-    def _one_request() -> None:
-        ended = running.pop(0)
+    def _replace_one_request() -> None:
+        ended_id = granted_ids.pop(0)
         cell.progress(
-            Progress(request_id=ended, cell=CELL, first_token_ms=50),
+            Progress(request_id=ended_id, cell=CELL, first_token_ms=50),
             now=0,
         )
         cell.release(
             Release(
-                request_id=ended,
+                request_id=ended_id,
                 cell=CELL,
                 end=RunEnd.ANSWERED,
                 total_ms=500,
             ),
             now=0,
         )
-        _offer(cell, next(numbers))
-        running.extend(
+        _offer(cell, next(new_numbers))
+        granted_ids.extend(
             each.ticket.request.request_id for each in cell.grants(0)
         )
 
     return {
         'waiting': waiting,
         'upstreams': upstreams,
-        'request_us': _micros(_one_request, ROUNDS),
-        'waiting_bytes': state // len(EXTRA),
+        'request_us': _mean_us(_replace_one_request, ROUNDS),
+        'waiting_bytes': extra_bytes // len(EXTRA_REQUEST_NUMBERS),
     }
 
 
-def messages() -> Figures:
-    """Measure the frames of one request."""
+def measure_frames() -> Figures:
+    """Measure the size of the message frames of one request."""
     request_id = 'f' * ID_CHARS
     frames: dict[str, Message] = {
-        'enqueue': _request(1),
+        'enqueue': _make_request(1),
         'grant': Grant(request_id=request_id, cell=CELL, upstream='engine-1'),
         'progress': Progress(
             request_id=request_id,
@@ -255,76 +263,81 @@
     return {name: len(encode_frame(each)) for name, each in frames.items()}
 
 
-def idle() -> list[Figures]:
-    """Measure what an instance spends while nobody calls, by fleet size."""
-    return [_idle(count) for count in FLEETS]
+def measure_idle() -> list[Figures]:
+    """Measure the resources an idle instance uses, by fleet size."""
+    return [_measure_idle_fleet(count) for count in FLEET_SIZES]
 
 
-def _idle(count: int) -> Figures:
+def _measure_idle_fleet(count: int) -> Figures:
     with process_fleet(Plan(instances=count, speeds=(1.0,))) as fleet:
         time.sleep(2)
-        calls = _platform_calls(fleet)
-        cpu_s = sum(each.cpu_s() for each in fleet.instances)
-        time.sleep(IDLE_S)
-        spent_s = sum(each.cpu_s() for each in fleet.instances) - cpu_s
-        called = _platform_calls(fleet) - calls
-        resident = max(each.resident_kib() for each in fleet.instances)
+        calls_before = _count_platform_calls(fleet)
+        cpu_before_s = sum(each.cpu_s() for each in fleet.instances)
+        time.sleep(IDLE_DURATION_S)
+        spent_s = sum(each.cpu_s() for each in fleet.instances) - cpu_before_s
+        call_count = _count_platform_calls(fleet) - calls_before
+        resident_kib = max(each.resident_kib() for each in fleet.instances)
     return {
         'instances': count,
-        'cpu_share_each': round(spent_s / count / IDLE_S, 5),
-        'platform_calls_per_s_each': round(called / count / IDLE_S, 3),
-        'resident_mib': round(resident / 1024, 1),
+        'cpu_share_each': round(spent_s / count / IDLE_DURATION_S, 5),
+        'platform_calls_per_s_each': round(
+            call_count / count / IDLE_DURATION_S, 3
+        ),
+        'resident_mib': round(resident_kib / 1024, 1),
     }
 
 
-def _platform_calls(fleet: ProcessFleet) -> int:
-    answer = ask(fleet.platform.address, '/standin/switches', {})
-    return sum(answer['calls'].values())
+def _count_platform_calls(fleet: ProcessFleet) -> int:
+    switches = ask(fleet.platform.address, '/standin/switches', {})
+    return sum(switches['calls'].values())
 
 
-def control() -> Figures:
+def measure_peer_bytes() -> Figures:
     """Measure the bytes between instances for one streamed request."""
     with process_fleet(Plan(instances=2, speeds=(20.0,))) as fleet:
-        asked = fleet.instances[1 - fleet.owner_of(CELL)]
+        ingress = fleet.instances[1 - fleet.owner_of(CELL)]
         entry = _short_stream()
-        curio.run(_async_calls, asked.address, entry)
-        text = curio.run(_async_metrics, asked.address)
+        curio.run(_async_make_calls, ingress.address, entry)
+        text = curio.run(_async_fetch_metrics, ingress.address)
     total = sum(
         float(line.split()[1])
         for line in text.splitlines()
         if line.startswith('hornbeamdeck_peer_bytes_total')
     )
-    return {'calls': CALLS, 'peer_bytes_per_call': round(total / CALLS)}
+    return {
+        'calls': CALL_COUNT,
+        'peer_bytes_per_call': round(total / CALL_COUNT),
+    }
 
 
 def _short_stream() -> Any:
-    return SHORT._replace(is_stream=True, output_tokens=4)
+    return SHORT_CALL._replace(is_stream=True, output_tokens=4)
 
 
-async def _async_calls(address: Address, entry: Any) -> None:
-    for number in range(CALLS):
+async def _async_make_calls(address: Address, entry: Any) -> None:
+    for number in range(CALL_COUNT):
         record = await async_call(entry, number, address)
         assert record.is_whole, record
 
 
-async def _async_metrics(address: Address) -> str:
-    got = await async_fetch_once(
+async def _async_fetch_metrics(address: Address) -> str:
+    response = await async_fetch_once(
         address,
         HttpRequest('GET', '/metrics', '', {}, b''),
         timeout_ms=2000,
     )
-    return got.unwrap().body.decode(ENCODING)
+    return response.unwrap().body.decode(ENCODING)
 
 
 def run(json: bool = False) -> None:
-    """Measure all slopes."""
+    """Run all measurements and print them."""
     figures = {
-        'members': members(),
-        'teams': teams(),
-        'decisions': decisions(),
-        'messages': messages(),
-        'control': control(),
-        'idle': idle(),
+        'members': measure_membership(),
+        'teams': measure_configuration(),
+        'decisions': measure_decisions(),
+        'messages': measure_frames(),
+        'control': measure_peer_bytes(),
+        'idle': measure_idle(),
     }
     _print(figures, as_json=json)
 
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,4 +1,4 @@
-"""What an instance adds and uses: latency, requests a second, CPU.
+"""Measures the latency that an instance adds, its throughput and CPU time.
 
 python -m bench.cost latency --json
 python -m bench.cost throughput --json
@@ -14,34 +14,37 @@
 import fire
 
 from bench.processes import Plan, ProcessFleet, process_fleet
-from bench.running import Running
-from bench.worker import SHORT
+from bench.running import ServerProcess
+from bench.worker import SHORT_CALL
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.demo.caller import async_call
 from hornbeamdeck.demo.report import P50, P95, percentile
 from hornbeamdeck.demo.trace import TraceEntry
 
-FAST: Final = Plan(speeds=(50.0, 50.0, 50.0), max_running=64)
-WORKERS: Final = 3
-DIGITS: Final = 2
+FAST_FLEET: Final = Plan(speeds=(50.0, 50.0, 50.0), max_running=64)
+WORKER_COUNT: Final = 3
+DECIMALS: Final = 2
 
 
 def latency(pairs: int = 400, json: bool = False) -> None:
-    """Call an engine direct and through an instance by turns.
+    """Call an engine alternately directly and through an instance.
 
-    The instance asked does not own the cell, so each call gets its grant from
-    another process.
+    The called instance does not own the cell, so that each call gets its grant
+    from another process.
     """
-    with process_fleet(FAST) as fleet:
-        ingress = _ingress(fleet)
+    with process_fleet(FAST_FLEET) as fleet:
+        ingress = _pick_ingress(fleet)
         direct, through = curio.run(
-            _async_pairs,
+            _async_measure_pairs,
             fleet.engines[0].address,
             ingress.address,
             pairs,
         )
-    added = [late - early for early, late in zip(direct, through, strict=True)]
+    added = [
+        through_ms - direct_ms
+        for direct_ms, through_ms in zip(direct, through, strict=True)
+    ]
     _print(
         {
             'pairs': pairs,
@@ -59,12 +62,12 @@
     callers: int = 8,
     json: bool = False,
 ) -> None:
-    """Load one instance from several processes and read its CPU time.
+    """Load one instance from several processes and measure its CPU time.
 
-    :param callers: in each of the worker processes.
+    :param callers: concurrent callers in each worker process.
     """
-    with process_fleet(FAST) as fleet:
-        ingress = _ingress(fleet)
+    with process_fleet(FAST_FLEET) as fleet:
+        ingress = _pick_ingress(fleet)
         owner = fleet.instances[fleet.owner_of('desk')]
         before = ingress.cpu_s(), owner.cpu_s()
         calls = _run_workers(ingress.address, seconds, callers)
@@ -85,12 +88,12 @@
 
 
 def stream(calls: int = 60, tokens: int = 200, json: bool = False) -> None:
-    """Read the CPU time of one instance for each streamed token."""
-    entry = SHORT._replace(is_stream=True, output_tokens=tokens)
-    with process_fleet(FAST) as fleet:
-        ingress = _ingress(fleet)
+    """Measure the CPU time of one instance for each streamed token."""
+    entry = SHORT_CALL._replace(is_stream=True, output_tokens=tokens)
+    with process_fleet(FAST_FLEET) as fleet:
+        ingress = _pick_ingress(fleet)
         before_s = ingress.cpu_s()
-        curio.run(_async_stream, entry, ingress.address, calls)
+        curio.run(_async_make_calls, entry, ingress.address, calls)
         spent_s = ingress.cpu_s() - before_s
     _print(
         {
@@ -102,7 +105,7 @@
     )
 
 
-async def _async_stream(
+async def _async_make_calls(
     entry: TraceEntry,
     address: Address,
     calls: int,
@@ -112,12 +115,12 @@
         assert record.is_whole, record
 
 
-def _ingress(fleet: ProcessFleet) -> Running:
+def _pick_ingress(fleet: ProcessFleet) -> ServerProcess:
     owner = fleet.owner_of('desk')
     return fleet.instances[(owner + 1) % len(fleet.instances)]
 
 
-async def _async_pairs(
+async def _async_measure_pairs(
     engine: Address,
     instance: Address,
     pairs: int,
@@ -127,7 +130,7 @@
     for number in range(pairs):
         for address, times in ((engine, direct), (instance, through)):
             begin_ms = now_ms()
-            record = await async_call(SHORT, number, address)
+            record = await async_call(SHORT_CALL, number, address)
             assert record.is_whole, record
             times.append(now_ms() - begin_ms)
     return direct, through
@@ -144,14 +147,14 @@
     ]
     workers = [
         subprocess.Popen(command, stdout=subprocess.PIPE)
-        for _ in range(WORKERS)
+        for _ in range(WORKER_COUNT)
     ]
     outputs = [worker.communicate()[0] for worker in workers]
     return sum(json.loads(output)['calls'] for output in outputs)
 
 
 def _round(figure: float) -> float:
-    return round(figure, DIGITS)
+    return round(figure, DECIMALS)
 
 
 def _print(figures: dict[str, Any], *, as_json: bool) -> None:
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Goodput by tier and wasted prefill under a policy and a load.
+"""Measures goodput by tier and wasted prefill under a policy and a load.
 
 python -m bench.load --policy grant --load 1.5 --seed 1 --json
 """
@@ -22,8 +22,8 @@
 DEFAULT_DURATION_S: Final = 30.0
 
 
-class Share(NamedTuple):
-    """A tier's share of the calls and their lengths, drawn log-uniformly."""
+class TierShare(NamedTuple):
+    """A tier's share of the calls, with log-uniformly distributed lengths."""
 
     team: str
     tier: str
@@ -33,18 +33,20 @@
     output_tokens: tuple[int, int]
 
 
-MIX: Final = (
-    Share('guides', 'urgent', 0.45, 3000, (40, 800), (8, 60)),
-    Share('sales', 'standard', 0.4, 6000, (40, 1600), (16, 160)),
-    Share('writers', 'long', 0.15, 30_000, (400, 4000), (80, 800)),
+CALL_MIX: Final = (
+    TierShare('guides', 'urgent', 0.45, 3000, (40, 800), (8, 60)),
+    TierShare('sales', 'standard', 0.4, 6000, (40, 1600), (16, 160)),
+    TierShare('writers', 'long', 0.15, 30_000, (400, 4000), (80, 800)),
 )
 
 
 class LoadReport(NamedTuple):
-    """What a run showed.
+    """The figures of one run.
 
-    :param goodput: by tier, answers whole and in time over those asked for.
-    :param wasted_prefill: prefilled tokens of runs that did not end, over all.
+    :param goodput: by tier, complete responses in time as a share of the
+        requests.
+    :param wasted_prefill: prefilled tokens of runs that were not completed, as
+        a share of all prefilled tokens.
     """
 
     policy: str
@@ -64,33 +66,33 @@
     seed: int,
     duration_s: float,
 ) -> list[TraceEntry]:
-    """Draw Poisson arrivals at a multiple of what the engines can do."""
-    draw = random.Random(seed)
+    """Draw Poisson arrivals at a multiple of the engines' capacity."""
+    rng = random.Random(seed)
     rate_per_ms = load * capacity_per_s(plan) / 1000
     entries: list[TraceEntry] = []
-    at_ms = draw.expovariate(rate_per_ms)
+    at_ms = rng.expovariate(rate_per_ms)
     while at_ms < duration_s * 1000:
-        share = draw.choices(MIX, [each.weight for each in MIX])[0]
-        entries.append(_entry(draw, share, int(at_ms)))
-        at_ms += draw.expovariate(rate_per_ms)
+        share = rng.choices(CALL_MIX, [each.weight for each in CALL_MIX])[0]
+        entries.append(_make_entry(rng, share, int(at_ms)))
+        at_ms += rng.expovariate(rate_per_ms)
     return entries
 
 
 def capacity_per_s(plan: Plan) -> float:
-    """Work out how many calls of the mix all engines together end a second.
+    """Compute how many calls of the mix all engines can complete per second.
 
-    A call's share of an engine, with the batch full: its prefill, and for
-    each output token its part of a step.
+    The cost of a call, with a full batch, is the time for its prefill plus its
+    share of a step for each output token.
     """
     model = EngineModel()
     step_ms = model.step_ms / model.max_batch + model.step_per_answer_ms
     cost_ms = sum(
         share.weight
         * (
-            _mean(share.prompt_tokens) * model.prefill_token_ms
-            + _mean(share.output_tokens) * step_ms
+            _mean_length(share.prompt_tokens) * model.prefill_token_ms
+            + _mean_length(share.output_tokens) * step_ms
         )
-        for share in MIX
+        for share in CALL_MIX
     )
     return sum(plan.speeds) * 1000 / cost_ms
 
@@ -105,7 +107,7 @@
     """Run one load against a fleet of separate processes.
 
     :param policy: grant, round_robin or least_reported_load.
-    :param load: offered load over what the engines can do.
+    :param load: offered load as a multiple of the engines' capacity.
     """
     plan = Plan(policy=policy)
     trace = make_trace(plan, load=load, seed=seed, duration_s=duration_s)
@@ -113,7 +115,7 @@
     with process_fleet(plan) as fleet:
         addresses = [instance.address for instance in fleet.instances]
         curio.run(async_replay, trace, addresses, records.append)
-        report = _report(fleet, records, load, seed, duration_s)
+        report = _make_report(fleet, records, load, seed, duration_s)
     if json:
         print(_to_json(report))
         return
@@ -121,7 +123,7 @@
     print(f'wasted prefill {report.wasted_prefill:.4f}')
 
 
-def _report(
+def _make_report(
     fleet: ProcessFleet,
     records: list[CallRecord],
     load: float,
@@ -129,11 +131,11 @@
     duration_s: float,
 ) -> LoadReport:
     rows = tier_rows(records)
-    counts = [
+    records_by_engine = [
         ask(engine.address, '/standin/records') for engine in fleet.engines
     ]
-    prefilled = sum(each['prefilled_tokens'] for each in counts)
-    wasted = sum(each['wasted_prefill_tokens'] for each in counts)
+    prefilled = sum(each['prefilled_tokens'] for each in records_by_engine)
+    wasted = sum(each['wasted_prefill_tokens'] for each in records_by_engine)
     return LoadReport(
         policy=fleet.plan.policy,
         load=load,
@@ -146,24 +148,24 @@
     )
 
 
-def _entry(draw: random.Random, share: Share, at_ms: int) -> TraceEntry:
+def _make_entry(rng: random.Random, share: TierShare, at_ms: int) -> TraceEntry:
     return TraceEntry(
         at_ms=at_ms,
         team=share.team,
         tier=share.tier,
         service='desk',
         deadline_ms=share.deadline_ms,
-        prompt_chars=_draw(draw, share.prompt_tokens) * CHARS_PER_TOKEN,
-        output_tokens=_draw(draw, share.output_tokens),
+        prompt_chars=_draw_length(rng, share.prompt_tokens) * CHARS_PER_TOKEN,
+        output_tokens=_draw_length(rng, share.output_tokens),
     )
 
 
-def _draw(draw: random.Random, bounds: tuple[int, int]) -> int:
+def _draw_length(rng: random.Random, bounds: tuple[int, int]) -> int:
     low, high = bounds
-    return int(low * (high / low) ** draw.random())
+    return int(low * (high / low) ** rng.random())
 
 
-def _mean(bounds: tuple[int, int]) -> float:
+def _mean_length(bounds: tuple[int, int]) -> float:
     low, high = bounds
     return (high - low) / math.log(high / low)
 
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -1,4 +1,4 @@
-"""Bookings answered while the platform is down, by kind of key.
+"""Measures bookings answered during a platform outage, by kind of key.
 
 python -m bench.outage --json
 """
@@ -23,27 +23,27 @@
 TEAM: Final = 'families'
 
 
-async def _async_issue(address: Address) -> str:
+async def _async_issue_key(address: Address) -> str:
     headers = {'authorization': f'Bearer {team_key(TEAM)}'}
-    got = await async_fetch_once(
+    response = await async_fetch_once(
         address,
         HttpRequest('POST', '/v1/idempotency-keys', '', headers, b''),
         timeout_ms=2000,
     )
-    return str(json.loads(got.unwrap().body)['idempotency_key'])
+    return str(json.loads(response.unwrap().body)['idempotency_key'])
 
 
 async def _async_book(
     fleet: ProcessFleet,
     number: int,
     is_issued: bool,
-    answered: dict[str, int],
+    counts: dict[str, int],
 ) -> None:
     instances = fleet.instances
     kind = 'system_issued' if is_issued else 'callers_own'
     key = f'own-{number}'
     if is_issued:
-        key = await _async_issue(instances[number % len(instances)].address)
+        key = await _async_issue_key(instances[number % len(instances)].address)
     entry = TraceEntry(
         at_ms=0,
         team=TEAM,
@@ -53,31 +53,36 @@
         path='/bookings',
         idempotency_key=key,
     )
-    # Sent to another instance than the issuer, as a caller's resend would be.
+    # The booking goes to another instance than the one that issued its key, as
+    # a caller's repeated request would.
     address = instances[(number + 1) % len(instances)].address
     record = await async_call(entry, number, address)
-    answered[f'{kind}_asked'] = answered.get(f'{kind}_asked', 0) + 1
-    answered[kind] = answered.get(kind, 0) + record.is_whole
+    counts[f'{kind}_asked'] = counts.get(f'{kind}_asked', 0) + 1
+    counts[kind] = counts.get(kind, 0) + record.is_whole
 
 
-async def _async_outage(fleet: ProcessFleet, seconds: float) -> dict[str, int]:
+async def _async_book_in_outage(
+    fleet: ProcessFleet, seconds: float
+) -> dict[str, int]:
     platform = fleet.platform.address
     await async_put(platform, SWITCHES, {'is_down': True})
-    answered: dict[str, int] = {}
+    counts: dict[str, int] = {}
     group = curio.TaskGroup()
     for number in range(int(seconds * CALLS_PER_S)):
         is_issued = bool(number % 2)
-        await group.spawn(_async_book, fleet, number, is_issued, answered)
+        await group.spawn(_async_book, fleet, number, is_issued, counts)
         await curio.sleep(1 / CALLS_PER_S)
     await group.join()
     await async_put(platform, SWITCHES, {'is_down': False})
-    return answered
+    return counts
 
 
 def run(seconds: float = OUTAGE_S, json: bool = False) -> None:
-    """Book by turns with both kinds of key during an outage."""
+    """Make bookings with alternating kinds of key during an outage."""
     with process_fleet(Plan(speeds=(1.0,))) as fleet:
-        figures: dict[str, Any] = curio.run(_async_outage, fleet, seconds)
+        figures: dict[str, Any] = curio.run(
+            _async_book_in_outage, fleet, seconds
+        )
     for kind in ('callers_own', 'system_issued'):
         share = figures.get(kind, 0) / figures[f'{kind}_asked']
         figures[f'{kind}_share'] = round(share, 4)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Runs a fleet as separate processes on loopback ports from the system."""
+"""Runs a fleet as separate processes on loopback ports that the OS assigns."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 
 import curio
 
-from bench.running import Running, end, start, wait_for
+from bench.running import ServerProcess, end, start, wait_until
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import async_fetch_once
 from hornbeamdeck.connection.http import HttpRequest
@@ -25,9 +25,10 @@
 
 
 class Plan(NamedTuple):
-    """What to start; the fields mean what they mean in the demo's fleet.
+    """What to start; the fields mean the same as in the demo's fleet.
 
-    :param module: what `python -m` runs as an instance, with first arguments.
+    :param module: the module that `python -m` runs as an instance, followed by
+        its first arguments.
     """
 
     instances: int = 3
@@ -40,17 +41,17 @@
 
 
 class ProcessFleet(NamedTuple):
-    """All processes of a bench."""
+    """All processes of a benchmark."""
 
     plan: Plan
     folder: pathlib.Path
-    platform: Running
-    engines: list[Running]
-    booking: Running
-    instances: list[Running]
+    platform: ServerProcess
+    engines: list[ServerProcess]
+    booking: ServerProcess
+    instances: list[ServerProcess]
 
-    def start_instance(self, number: int) -> Running:
-        """Start one more instance."""
+    def start_instance(self, number: int) -> ServerProcess:
+        """Start the instance with this number."""
         settings = {
             'instance_id': f'instance-{number}',
             'availability_zone': f'zone-{number % 3}',
@@ -71,13 +72,13 @@
             module=self.plan.module,
         )
 
-    def wait_ready(self) -> None:
-        """Wait until every instance has the configuration."""
+    def wait_until_ready(self) -> None:
+        """Wait until every instance is ready."""
         for instance in self.instances:
-            wait_for(partial(_is_ready, instance.address))
+            wait_until(partial(_is_ready, instance.address))
 
     def owner_of(self, cell: str) -> int:
-        """Find the index of the instance that owns a cell."""
+        """Return the index of the instance that owns a cell."""
         names = [f'instance-{each}' for each in range(len(self.instances))]
         owner = owner_of(cell, names)
         return names.index(str(owner))
@@ -85,69 +86,70 @@
 
 @contextmanager
 def process_fleet(plan: Plan) -> Iterator[ProcessFleet]:
-    """Start a fleet, and end every process of it."""
+    """Start a fleet and kill all its processes at the end."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        started: list[Running] = []
+        started: list[ServerProcess] = []
 
-        def _standin(kind: str, *more: str) -> Running:
-            running = start(
+        def _start_standin(kind: str, *arguments: str) -> ServerProcess:
+            server = start(
                 folder,
                 f'{kind}-{len(started)}',
-                ['standin', kind, *more],
+                ['standin', kind, *arguments],
             )
-            started.append(running)
-            return running
+            started.append(server)
+            return server
 
         fleet = ProcessFleet(
             plan=plan,
             folder=folder,
-            platform=_standin('platform'),
+            platform=_start_standin('platform'),
             engines=[
-                _standin('engine', f'--speed={speed}') for speed in plan.speeds
+                _start_standin('engine', f'--speed={speed}')
+                for speed in plan.speeds
             ],
-            booking=_standin('booking'),
+            booking=_start_standin('booking'),
             instances=[],
         )
         try:
             _configure(fleet)
             for number in range(plan.instances):
                 fleet.instances.append(fleet.start_instance(number))
-            fleet.wait_ready()
+            fleet.wait_until_ready()
             yield fleet
         finally:
-            for running in (*fleet.instances, *started):
-                end(running)
+            for server in (*fleet.instances, *started):
+                end(server)
 
 
 def ask(address: Address, path: str, body: Any = None) -> Any:
-    """Call a stand-in's or an instance's own page and read its JSON."""
+    """Call an endpoint of a stand-in or an instance and parse its JSON."""
     method = 'GET' if body is None else 'PUT'
     encoded = b'' if body is None else json.dumps(body).encode(ENCODING)
     request = HttpRequest(method, path, '', {}, encoded)
-    return json.loads(curio.run(_async_ask, address, request))
+    return json.loads(curio.run(_async_fetch, address, request))
 
 
 async def async_put(address: Address, path: str, body: Any) -> Any:
-    """Change a stand-in, from within curio."""
+    """Send JSON to a stand-in with PUT, from a curio task."""
     encoded = json.dumps(body).encode(ENCODING)
     request = HttpRequest('PUT', path, '', {}, encoded)
-    return json.loads(await _async_ask(address, request))
+    return json.loads(await _async_fetch(address, request))
 
 
 async def async_get(address: Address, path: str) -> Any:
-    """Read a page, from within curio."""
+    """Read JSON from an endpoint, from a curio task."""
     request = HttpRequest('GET', path, '', {}, b'')
-    return json.loads(await _async_ask(address, request))
+    return json.loads(await _async_fetch(address, request))
 
 
-async def _async_ask(address: Address, request: HttpRequest) -> bytes:
-    got = await async_fetch_once(
+async def _async_fetch(address: Address, request: HttpRequest) -> bytes:
+    response = await async_fetch_once(
         address,
         request,
         timeout_ms=CALL_TIMEOUT_MS,
     )
-    return got.unwrap().body
+    return response.unwrap().body
 
 
 def _is_ready(address: Address) -> bool:
--- a/bench/running.py
+++ b/bench/running.py
@@ -1,4 +1,4 @@
-"""One process of a fleet: how it is started, watched and ended."""
+"""Starts, monitors and kills one process of a fleet."""
 
 import json
 import os
@@ -13,27 +13,29 @@
 from hornbeamdeck.connection.address import Address
 
 START_TIMEOUT_S: Final = 20.0
-POLL_S: Final = 0.05
-USER_TICKS: Final = 11
-SYSTEM_TICKS: Final = 12
+POLL_INTERVAL_S: Final = 0.05
+# Positions of utime and stime in /proc/PID/stat, counted from the field after
+# the command name.
+USER_TICKS_INDEX: Final = 11
+SYSTEM_TICKS_INDEX: Final = 12
 
 
-class Running(NamedTuple):
-    """One started process."""
+class ServerProcess(NamedTuple):
+    """A started instance or stand-in."""
 
     process: subprocess.Popen[bytes]
-    log: pathlib.Path
+    log_path: pathlib.Path
     address: Address
 
     def cpu_s(self) -> float:
-        """Tell the processor time used so far, seconds."""
+        """Return the processor time used so far, in seconds."""
         stat = pathlib.Path(f'/proc/{self.process.pid}/stat').read_text()
         fields = stat.rpartition(')')[2].split()
-        ticks = int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])
+        ticks = int(fields[USER_TICKS_INDEX]) + int(fields[SYSTEM_TICKS_INDEX])
         return ticks / os.sysconf('SC_CLK_TCK')
 
     def resident_kib(self) -> int:
-        """Tell the resident memory, KiB."""
+        """Return the resident memory, in KiB."""
         status = pathlib.Path(f'/proc/{self.process.pid}/status').read_text()
         line = next(
             each for each in status.splitlines() if each.startswith('VmRSS')
@@ -41,8 +43,8 @@
         return int(line.split()[1])
 
     def log_events(self) -> Iterator[dict[str, Any]]:
-        """Read what the process has logged."""
-        for line in self.log.read_text().splitlines():
+        """Read the events that the process has logged."""
+        for line in self.log_path.read_text().splitlines():
             if line.startswith('{'):
                 yield json.loads(line)
 
@@ -53,45 +55,45 @@
     arguments: list[str],
     *,
     module: tuple[str, ...] = ('hornbeamdeck',),
-) -> Running:
-    """Start a process and wait until it listens."""
-    log = folder / f'{name}.log'
-    with log.open('wb') as sink:
+) -> ServerProcess:
+    """Start a process and wait until it listens on its port."""
+    log_path = folder / f'{name}.log'
+    with log_path.open('wb') as log_file:
         process = subprocess.Popen(
             [sys.executable, '-m', *module, *arguments],
             stdout=subprocess.DEVNULL,
-            stderr=sink,
+            stderr=log_file,
         )
-    running = Running(process, log, Address('127.0.0.1', 0))
-    wait_for(lambda: _listening(running) is not None)
-    address = _listening(running)
-    return running._replace(address=Address.from_text(str(address)))
+    server = ServerProcess(process, log_path, Address('127.0.0.1', 0))
+    wait_until(lambda: _find_address(server) is not None)
+    address = _find_address(server)
+    return server._replace(address=Address.from_text(str(address)))
 
 
-def _listening(running: Running) -> str | None:
-    if running.process.poll() is not None:
-        raise RuntimeError(running.log.read_text())
-    for event in running.log_events():
+def _find_address(server: ServerProcess) -> str | None:
+    if server.process.poll() is not None:
+        raise RuntimeError(server.log_path.read_text())
+    for event in server.log_events():
         if 'listens' in event['event']:
             return str(event['address'])
     return None
 
 
-def wait_for(is_done: Callable[[], bool]) -> None:
-    """Wait for a condition.
+def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds.
 
-    :raises TimeoutError: where it does not come about.
+    :raises TimeoutError: if it does not hold within the start timeout.
     """
-    until = time.monotonic() + START_TIMEOUT_S
-    while not is_done():
-        if time.monotonic() > until:
-            raise TimeoutError('the fleet did not start')
-        time.sleep(POLL_S)
-
-
-def end(running: Running) -> None:
-    """End a process, also one that is stopped."""
-    if running.process.poll() is None:
-        running.process.send_signal(signal.SIGCONT)
-        running.process.kill()
-    running.process.wait()
+    deadline_s = time.monotonic() + START_TIMEOUT_S
+    while not condition():
+        if time.monotonic() > deadline_s:
+            raise TimeoutError('the fleet did not become ready in time')
+        time.sleep(POLL_INTERVAL_S)
+
+
+def end(server: ServerProcess) -> None:
+    """Kill a process, even if it is suspended by SIGSTOP, and wait for it."""
+    if server.process.poll() is None:
+        server.process.send_signal(signal.SIGCONT)
+        server.process.kill()
+    server.process.wait()
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,17 +1,17 @@
-"""Writes the demo's two traces: `python -m bench.traces`."""
+"""Generates the demo's two traces: `python -m bench.traces`."""
 
 import json
 import pathlib
 import random
 from typing import Any, Final, NamedTuple
 
-SPAN_MS: Final = 15_000
+TRACE_DURATION_MS: Final = 15_000
 SEED: Final = 20261203
-FOLDER: Final = pathlib.Path('hornbeamdeck/demo')
+TRACE_FOLDER: Final = pathlib.Path('hornbeamdeck/demo')
 
 
 class Flow(NamedTuple):
-    """Calls of one kind; lengths are drawn log-uniformly from their ranges."""
+    """Calls of one kind, with log-uniformly distributed lengths."""
 
     team: str
     tier: str
@@ -38,17 +38,17 @@
 )
 
 
-def _length(draw: random.Random, bounds: tuple[int, int]) -> int:
+def _draw_length(rng: random.Random, bounds: tuple[int, int]) -> int:
     low, high = bounds
     if not high:
         return 0
-    return int(low * (high / low) ** draw.random())
+    return int(low * (high / low) ** rng.random())
 
 
-def _entries(draw: random.Random, flow: Flow) -> list[dict[str, Any]]:
+def _draw_entries(rng: random.Random, flow: Flow) -> list[dict[str, Any]]:
     return [
         {
-            'at_ms': int(draw.random() * SPAN_MS),
+            'at_ms': int(rng.random() * TRACE_DURATION_MS),
             'team': flow.team,
             'tier': flow.tier,
             'service': 'counter' if flow.path else 'desk',
@@ -56,25 +56,25 @@
             'method': flow.method,
             'path': flow.path,
             'idempotency_key': (
-                f'{flow.team}-{draw.getrandbits(64):x}'
+                f'{flow.team}-{rng.getrandbits(64):x}'
                 if flow.path == '/bookings'
                 else ''
             ),
-            'prompt_chars': _length(draw, flow.prompt_chars),
-            'output_tokens': _length(draw, flow.output_tokens),
-            'is_stream': draw.random() < 0.9,
+            'prompt_chars': _draw_length(rng, flow.prompt_chars),
+            'output_tokens': _draw_length(rng, flow.output_tokens),
+            'is_stream': rng.random() < 0.9,
         }
         for _ in range(flow.calls)
     ]
 
 
 def write_trace(name: str, flows: tuple[Flow, ...]) -> None:
-    """Write one trace, always the same."""
-    draw = random.Random(SEED)
-    entries = [entry for flow in flows for entry in _entries(draw, flow)]
+    """Write one trace; the output is the same on each run."""
+    rng = random.Random(SEED)
+    entries = [entry for flow in flows for entry in _draw_entries(rng, flow)]
     entries.sort(key=lambda entry: int(entry['at_ms']))
     lines = ',\n'.join(json.dumps(entry) for entry in entries)
-    FOLDER.joinpath(f'{name}.json').write_text(f'[\n{lines}\n]\n')
+    TRACE_FOLDER.joinpath(f'{name}.json').write_text(f'[\n{lines}\n]\n')
 
 
 def main() -> None:
--- a/bench/weakened.py
+++ b/bench/weakened.py
@@ -1,8 +1,9 @@
-"""An instance with one of its mechanisms taken out, for bench.faults alone.
+"""An instance with one mechanism disabled, used by bench.faults only.
 
     python -m bench.weakened claim serve --settings FILE
 
-It shows that each count of the bench rises where its mechanism is missing.
+It serves to show that each count of bench.faults rises when the mechanism that
+prevents it is missing.
 """
 
 import sys
@@ -22,31 +23,31 @@
 from hornbeamdeck.scheduling import suspicion
 
 
-async def _async_nothing(*_args: Any) -> None:
-    """Record and release nothing."""
+async def _async_do_nothing(*_args: Any) -> None:
+    """Do nothing, in place of recording or releasing a claim."""
 
 
-async def _async_anyone(*_args: Any) -> Result[Once, Any]:
-    return Ok(Once(record=_async_nothing, release=_async_nothing))
+async def _async_skip_claim(*_args: Any) -> Result[Once, Any]:
+    return Ok(Once(record=_async_do_nothing, release=_async_do_nothing))
 
 
 def _without_claim() -> None:
-    """Let every call that must not repeat run at once."""
-    _patch(claim.Claims, 'async_claim', _async_anyone)
+    """Run every non-idempotent call without claiming it first."""
+    _patch(claim.Claims, 'async_claim', _async_skip_claim)
 
 
 def _without_isolation() -> None:
-    """Hold no crash against any request."""
+    """Never treat a request as the cause of a crash."""
     _patch(suspicion.Suspicions, 'is_culprit', lambda *_args: False)
 
 
 def _without_leaving() -> None:
-    """Pay no heed to what the platform lists as leaving."""
+    """Ignore which engines the platform lists as draining."""
     _patch(scheduler.Scheduler, 'note_leaving', lambda *_args: None)
 
 
 def _without_drain() -> None:
-    """Stop at once when told to."""
+    """Stop immediately instead of draining."""
 
     async def _async_stop(self: Any) -> int:
         pending = int(self._pending())
@@ -57,15 +58,17 @@
 
 
 def _without_single_dispatch() -> None:
-    """Dispatch again, in place of a resume, after a broken answer."""
+    """Send a request again after a broken response instead of resuming it."""
 
-    async def _async_no_resume(_self: Any) -> Result[None, ConnectionBroken]:
-        return Err(ConnectionBroken('resume is taken out'))
+    async def _async_fail_to_resume(
+        _self: Any,
+    ) -> Result[None, ConnectionBroken]:
+        return Err(ConnectionBroken('resuming is disabled by bench.weakened'))
 
-    _patch(EngineStream, '_async_resume', _async_no_resume)
-    relay_once = relay.async_relay
+    _patch(EngineStream, '_async_resume', _async_fail_to_resume)
+    original_relay = relay.async_relay
 
-    async def _async_twice(
+    async def _async_relay_twice(
         admission: Any,
         placement: Any,
         policy: Any,
@@ -73,41 +76,41 @@
         *,
         limit_ms: int,
     ) -> Result[Any, Any]:
-        first = await relay_once(
+        first_result = await original_relay(
             admission,
             placement,
             policy,
             caller,
             limit_ms=limit_ms,
         )
-        if not isinstance(first, Err):
-            return first
+        if not isinstance(first_result, Err):
+            return first_result
         connected = await type(placement.connection).async_open(
             placement.connection._address,
             timeout_ms=1000,
         )
         if isinstance(connected, Err):
-            return first
-        again = placement._replace(connection=connected.ok_value)
-        return await relay_once(
+            return first_result
+        second_placement = placement._replace(connection=connected.ok_value)
+        return await original_relay(
             admission,
-            again,
+            second_placement,
             policy,
             caller,
             limit_ms=limit_ms,
         )
 
-    _patch(answer, 'async_relay', _async_twice)
+    _patch(answer, 'async_relay', _async_relay_twice)
 
 
 def _without_end_mark() -> None:
-    """End every stream cleanly, whole or not."""
+    """End every stream without an error, even an incomplete one."""
 
     async def _async_read_piece(self: Any) -> Any:
-        piece = await original(self)
+        piece = await original_read_piece(self)
         return Ok(b'') if isinstance(piece, Err) else piece
 
-    original = ClientConnection.async_read_piece
+    original_read_piece = ClientConnection.async_read_piece
     _patch(ClientConnection, 'async_read_piece', _async_read_piece)
     _patch(relay, 'END_MARK', b'')
 
@@ -116,9 +119,9 @@
     setattr(owner, name, replacement)
 
 
-TakeOut = Callable[[], None]
+Removal = Callable[[], None]
 
-MECHANISMS: Final[Mapping[str, TakeOut]] = MappingProxyType(
+MECHANISMS: Final[Mapping[str, Removal]] = MappingProxyType(
     {
         'claim': _without_claim,
         'drain': _without_drain,
@@ -131,7 +134,7 @@
 
 
 def main() -> None:
-    """Take the mechanism out and run the command line."""
+    """Disable the mechanism named by the first argument; run the CLI."""
     MECHANISMS[sys.argv.pop(1)]()
     cli.main()
 
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -1,4 +1,4 @@
-"""Calls an address without pause for a while and prints how often.
+"""Calls an address continuously for a while and prints the number of calls.
 
 python -m bench.worker 127.0.0.1:8080 --seconds 5 --callers 8
 """
@@ -14,7 +14,7 @@
 from hornbeamdeck.demo.caller import async_call
 from hornbeamdeck.demo.trace import TraceEntry
 
-SHORT: Final = TraceEntry(
+SHORT_CALL: Final = TraceEntry(
     at_ms=0,
     team='guides',
     tier='urgent',
@@ -26,27 +26,29 @@
 )
 
 
-async def _async_caller(address: Address, until_ms: float) -> int:
+async def _async_call_repeatedly(address: Address, until_ms: float) -> int:
     calls = 0
     while now_ms() < until_ms:
-        record = await async_call(SHORT, calls, address)
+        record = await async_call(SHORT_CALL, calls, address)
         calls += record.is_whole
     return calls
 
 
-async def _async_work(address: Address, seconds: float, callers: int) -> int:
+async def _async_run_callers(
+    address: Address, seconds: float, callers: int
+) -> int:
     until_ms = now_ms() + seconds * 1000
     group = curio.TaskGroup()
     for _ in range(callers):
-        await group.spawn(_async_caller, address, until_ms)
+        await group.spawn(_async_call_repeatedly, address, until_ms)
     await group.join()
     return sum(group.results)
 
 
 def run(address: str, seconds: float = 5, callers: int = 8) -> None:
-    """Call and count whole answers."""
-    where = Address.from_text(address)
-    calls = curio.run(_async_work, where, seconds, callers)
+    """Call the address and print the number of complete responses."""
+    target = Address.from_text(address)
+    calls = curio.run(_async_run_callers, target, seconds, callers)
     print(json.dumps({'calls': calls}))
 
 
