--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -1,12 +1,13 @@
-"""Takes one mechanism out of a copy of the product, to see what it is worth.
+"""Removes single mechanisms from copies of the product to measure their value.
 
 python -m bench.ablate --name "kept connections" --checkout ../without-kept
 python -m bench.ablate --player PATH --plan plan.json --copies ../ablations
 
-The product has no switches for this: `ablations.json` names for each mechanism
-the one place where it is put in, and what stands there without it. With a plan
-(see `bench.pairs`; `before` is the checkout, `after` lists names separated by
-commas) each day is played with all mechanisms and without each.
+The product has no switches for this. For each mechanism, `ablations.json` names
+the one text in the source code that activates it, and the replacement without
+it. With a plan, each day is played with all mechanisms and without each of
+them. The plan's format is that of `bench.pairs`, except that `before` is the
+checkout and `after` lists names of mechanisms, separated by commas.
 """
 
 import itertools
@@ -22,23 +23,24 @@
 from bench.pairs import (
     Plan,
     Play,
-    Played,
-    keep_journals,
+    PlayResult,
+    merge_journals,
     play_one,
     play_options,
 )
 
 ABLATIONS: Final = pathlib.Path(__file__).with_name('ablations.json')
 PACKAGE: Final = 'hornbeamdeck'
-WHOLE: Final = 'everything'
+ALL_MECHANISMS: Final = 'everything'
 
 
 class Ablation(NamedTuple):
-    """One mechanism and how it is taken out.
+    """One mechanism and the text replacement that removes it.
 
-    :param file: below the package.
-    :param old: the text that puts the mechanism in; it stands there once.
-    :param new: what stands there without it.
+    :param file: path of the source file, relative to the package.
+    :param old: the text that activates the mechanism; it occurs once in the
+        file.
+    :param new: the text that replaces it.
     """
 
     name: str
@@ -48,20 +50,22 @@
 
 
 def load_ablations() -> dict[str, Ablation]:
-    """Read all, by name."""
+    """Read all ablations, by name."""
     raw = json.loads(ABLATIONS.read_text())
     return {each['name']: Ablation(**each) for each in raw}
 
 
-def take_out(ablation: Ablation, checkout: pathlib.Path) -> None:
-    """Change a checkout.
+def remove_mechanism(ablation: Ablation, checkout: pathlib.Path) -> None:
+    """Remove a mechanism from a checkout.
 
-    :raises ValueError: where the text does not stand there just once.
+    :raises ValueError: if the text to replace does not occur exactly once.
     """
     path = checkout / PACKAGE / ablation.file
     text = path.read_text()
     if text.count(ablation.old) != 1:
-        raise ValueError(f'{ablation.name}: not found once in {path}')
+        raise ValueError(
+            f'{ablation.name}: text does not occur exactly once in {path}'
+        )
     path.write_text(text.replace(ablation.old, ablation.new))
 
 
@@ -74,28 +78,28 @@
     copies: str = '',
     jobs: int = 4,
 ) -> None:
-    """Take out one mechanism, play without several, or list them all."""
+    """Remove one mechanism, play a plan of ablations, or list mechanisms."""
     ablations = load_ablations()
     if name:
-        take_out(ablations[name], pathlib.Path(checkout))
+        remove_mechanism(ablations[name], pathlib.Path(checkout))
     elif plan:
-        play_without(Plan.from_file(plan), player, pathlib.Path(copies), jobs)
+        play_ablations(Plan.from_file(plan), player, pathlib.Path(copies), jobs)
     else:
         print('\n'.join(ablations))
 
 
-def play_without(
+def play_ablations(
     plan: Plan,
     player: str,
     copies: pathlib.Path,
     jobs: int,
 ) -> None:
-    """Play the days of a plan with everything and without each mechanism."""
-    sides = {WHOLE: pathlib.Path(plan.before)}
+    """Play a plan's days with all mechanisms and without each of them."""
+    sides = {ALL_MECHANISMS: pathlib.Path(plan.before)}
     for number, name in enumerate(plan.after.split(',')):
         sides[name] = copies / f'without-{number}'
         shutil.copytree(plan.before, sides[name], symlinks=True)
-        take_out(load_ablations()[name], sides[name])
+        remove_mechanism(load_ablations()[name], sides[name])
     days = tuple(itertools.product(plan.sites, plan.days, plan.seeds))
     plays = [
         Play(side, str(path), *day)
@@ -107,19 +111,19 @@
         results = list(
             pool.map(lambda each: play_one(player, each, options), plays),
         )
-    keep_journals(map(str, sides.values()), plan.before)
+    merge_journals(map(str, sides.values()), plan.before)
     for each in results:
         print(*each.play.pair, each.play.side, each.worth, each.note, sep='\t')
-    whole = _worths(results, WHOLE)
+    complete = _values_by_pair(results, ALL_MECHANISMS)
     for name in plan.after.split(','):
-        print(name, _gains(results, name, whole), sep='\t')
+        print(name, _format_gains(results, name, complete), sep='\t')
 
 
-def _worths(
-    results: list[Played],
+def _values_by_pair(
+    results: list[PlayResult],
     side: str,
 ) -> dict[tuple[str, str, int], float]:
-    """Give the worth of each day that was played whole by one side."""
+    """Return the value of each play of one side that has a value."""
     return {
         played.play.pair: played.worth
         for played in results
@@ -127,17 +131,19 @@
     }
 
 
-def _gains(
-    results: list[Played],
+def _format_gains(
+    results: list[PlayResult],
     name: str,
-    whole: dict[tuple[str, str, int], float],
+    complete: dict[tuple[str, str, int], float],
 ) -> str:
-    """Tell what a mechanism gains on each day, and on their mean."""
-    without = _worths(results, name)
-    gains = [whole[pair] - without[pair] for pair in whole if pair in without]
-    shown = ' '.join(f'{gain:+.3f}' for gain in gains)
+    """Format the mean gain of a mechanism and its gain on each day."""
+    without = _values_by_pair(results, name)
+    gains = [
+        complete[pair] - without[pair] for pair in complete if pair in without
+    ]
+    gains_text = ' '.join(f'{gain:+.3f}' for gain in gains)
     mean = statistics.fmean(gains) if gains else 0.0
-    return f'{mean:+.3f} of {shown or "no whole pair"}'
+    return f'{mean:+.3f} of {gains_text or "no whole pair"}'
 
 
 if __name__ == '__main__':
--- a/bench/pairs.py
+++ b/bench/pairs.py
@@ -1,11 +1,12 @@
-"""Plays the same days before and after a change, and says which is better.
+"""Plays the same days before and after a change and compares the results.
 
-python -m bench.pairs --player PATH --plan plan.json --why "what is tried"
+python -m bench.pairs --player PATH --plan plan.json --why "what is tested"
 
-The plan is JSON: `before` and `after` name two checkouts; `sites`, `days` and
-`seeds` are lists, of which each combination is a pair, played once by each
-checkout; with `"charged": true` processor time counts. The player is the
-users' program; its path is given, as the repository holds none of it.
+The plan is a JSON file. `before` and `after` are the paths of two checkouts.
+`sites`, `days` and `seeds` are lists; each combination of their entries is a
+pair, which each checkout plays once. With `"charged": true`, processor time is
+charged. The player is the users' program; its path must be given because it is
+not part of this repository.
 """
 
 import itertools
@@ -24,20 +25,21 @@
 import fire
 import voluptuous as vol
 
-# Beyond so many standard errors of the mean a difference counts: Student's
-# t for one false verdict in twenty, for 3, 4, 5 ... pairs; the last for more.
-ERRORS: Final = (4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
-LEAST_PAIRS: Final = 3
-DIGITS: Final = 4
-JOURNAL: Final = 'journal'
-REPORT: Final = 'report.json'
+# A difference counts when its mean exceeds this number of standard errors:
+# Student's t for one false verdict in twenty, for 3, 4, 5 ... pairs. The last
+# number is used for all larger numbers of pairs.
+CRITICAL_T: Final = (4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
+MIN_PAIRS: Final = 3
+DECIMALS: Final = 4
+JOURNAL_FOLDER: Final = 'journal'
+REPORT_NAME: Final = 'report.json'
 BETTER: Final = 'better'
 WORSE: Final = 'worse'
-NOT_TOLD: Final = 'not told apart'
+INCONCLUSIVE: Final = 'not told apart'
 SIDES: Final = ('before', 'after')
 
 
-_PLAN: Final = vol.Schema(
+_PLAN_SCHEMA: Final = vol.Schema(
     {
         vol.Required('before'): str,
         vol.Required('after'): str,
@@ -50,7 +52,7 @@
 
 
 class Play(NamedTuple):
-    """One day to be played by one checkout."""
+    """One day that one checkout plays."""
 
     side: str
     checkout: str
@@ -60,15 +62,15 @@
 
     @property
     def pair(self) -> tuple[str, str, int]:
-        """What the two plays of a pair have in common."""
+        """The key that the two plays of a pair share."""
         return (pathlib.Path(self.site).stem, self.day, self.seed)
 
 
-class Played(NamedTuple):
-    """What came of a play.
+class PlayResult(NamedTuple):
+    """The result of a play.
 
-    :param worth: `None` where it failed to give one.
-    :param note: broken rules, or why there is no worth.
+    :param worth: the value of the play; `None` if it failed.
+    :param note: violated rules, or why the play has no value.
     """
 
     play: Play
@@ -77,9 +79,9 @@
 
 
 class Comparison(NamedTuple):
-    """Differences of worth over all whole pairs, after less before.
+    """Differences in value, after minus before, over all complete pairs.
 
-    :param error: standard error of the mean; infinite below two pairs.
+    :param error: standard error of the mean; infinite for fewer than two pairs.
     """
 
     pairs: int
@@ -91,20 +93,20 @@
     verdict: str
 
 
-def compare(differences: list[tuple[float, float]]) -> Comparison:
-    """Judge pairs of worth, before and after."""
-    changes = [after - before for before, after in differences]
-    count = len(changes)
-    spread = statistics.stdev(changes) if count > 1 else math.inf
-    mean = statistics.fmean(changes) if changes else 0.0
+def compare(pairs: list[tuple[float, float]]) -> Comparison:
+    """Compare pairs of values, before and after."""
+    differences = [after - before for before, after in pairs]
+    count = len(differences)
+    spread = statistics.stdev(differences) if count > 1 else math.inf
+    mean = statistics.fmean(differences) if differences else 0.0
     error = spread / math.sqrt(count) if count > 1 else math.inf
-    verdict = NOT_TOLD
-    if count >= LEAST_PAIRS and abs(mean) > _errors_for(count) * error:
+    verdict = INCONCLUSIVE
+    if count >= MIN_PAIRS and abs(mean) > _critical_t(count) * error:
         verdict = BETTER if mean > 0 else WORSE
     return Comparison(
         pairs=count,
-        mean_before=_mean(before for before, _ in differences),
-        mean_after=_mean(after for _, after in differences),
+        mean_before=_mean(before for before, _ in pairs),
+        mean_after=_mean(after for _, after in pairs),
         difference=mean,
         spread=spread,
         error=error,
@@ -112,12 +114,12 @@
     )
 
 
-def _errors_for(count: int) -> float:
-    return ERRORS[min(count - LEAST_PAIRS, len(ERRORS) - 1)]
+def _critical_t(count: int) -> float:
+    return CRITICAL_T[min(count - MIN_PAIRS, len(CRITICAL_T) - 1)]
 
 
-def pair_up(results: Iterable[Played]) -> list[tuple[float, float]]:
-    """Match the plays of each pair; one without both is left out."""
+def pair_up(results: Iterable[PlayResult]) -> list[tuple[float, float]]:
+    """Match the two plays of each pair; leave out incomplete pairs."""
     sides: dict[tuple[str, str, int], dict[str, float]] = {}
     for played in results:
         if played.worth is not None:
@@ -131,22 +133,22 @@
 
 
 def _mean(figures: Iterable[float]) -> float:
-    known = list(figures)
-    return statistics.fmean(known) if known else 0.0
+    numbers = list(figures)
+    return statistics.fmean(numbers) if numbers else 0.0
 
 
 def play_options(why: str, *, charged: bool) -> tuple[str, ...]:
-    """Make the options that all plays of one run share."""
+    """Build the player options that all plays of one run share."""
     if charged:
         return ('--why', why)
     return ('--why', why, '--no-cpu')
 
 
-def play_one(player: str, play: Play, options: tuple[str, ...]) -> Played:
-    """Let the player play one day."""
+def play_one(player: str, play: Play, options: tuple[str, ...]) -> PlayResult:
+    """Run the player for one day."""
     command = [player, 'run', play.site, play.day, '--seed', str(play.seed)]
     with TemporaryDirectory() as folder:
-        report = pathlib.Path(folder, REPORT)
+        report = pathlib.Path(folder, REPORT_NAME)
         finished = subprocess.run(
             [*command, '--report', str(report), *options],
             cwd=play.checkout,
@@ -155,38 +157,42 @@
             check=False,
         )
         text = report.read_text() if report.exists() else ''
-    played = read_play(play, text, finished.stdout + finished.stderr)
-    # What is ended before its table leaves at least these lines.
+    played = parse_result(play, text, finished.stdout + finished.stderr)
+    # If this program is stopped before it prints its table, these lines still
+    # show the plays that ended.
     print(*play.pair, play.side, played.worth, played.note, file=sys.stderr)
     return played
 
 
-def read_play(play: Play, report: str, output: str) -> Played:
-    """Read the player's report.
+def parse_result(play: Play, report: str, output: str) -> PlayResult:
+    """Parse the player's report.
 
-    A play without one is kept with its last line of output, so that a run
-    that failed shows in the table and is not taken for one that never was.
+    A play without a report is kept with its last line of output, so that a
+    failed run appears in the table and does not look as if it had not been
+    started.
     """
     if not report:
         lines = output.strip().splitlines() or ['no output']
-        return Played(play, None, lines[-1])
-    seen = json_codec.loads(report)
-    broken = ' '.join(seen['breaks'])
-    return Played(play, float(seen['G']), seen['fault'] or broken)
+        return PlayResult(play, None, lines[-1])
+    parsed = json_codec.loads(report)
+    violated_rules = ' '.join(parsed['breaks'])
+    return PlayResult(
+        play, float(parsed['G']), parsed['fault'] or violated_rules
+    )
 
 
-def keep_journals(checkouts: Iterable[str], into: str) -> None:
-    """Copy the journals of checkouts to that of one of them."""
-    target = pathlib.Path(into, JOURNAL).resolve()
+def merge_journals(checkouts: Iterable[str], target_checkout: str) -> None:
+    """Copy the journals of all checkouts into the journal of one checkout."""
+    target = pathlib.Path(target_checkout, JOURNAL_FOLDER).resolve()
     for checkout in checkouts:
-        source = pathlib.Path(checkout, JOURNAL).resolve()
+        source = pathlib.Path(checkout, JOURNAL_FOLDER).resolve()
         if source == target:
             continue
         shutil.copytree(source, target, dirs_exist_ok=True)
 
 
 class Plan(NamedTuple):
-    """What is to be played."""
+    """The days to play and the checkouts that play them."""
 
     before: str
     after: str
@@ -197,12 +203,12 @@
 
     @classmethod
     def from_file(cls, path: str) -> Self:
-        """Read a plan, checked."""
+        """Read a plan and validate it."""
         raw = json_codec.loads(pathlib.Path(path).read_text())
-        return cls(**_PLAN(raw))
+        return cls(**_PLAN_SCHEMA(raw))
 
     def plays(self) -> list[Play]:
-        """List all plays, the two of a pair one after the other."""
+        """List all plays, with the two plays of a pair next to each other."""
         pairs = itertools.product(self.sites, self.days, self.seeds)
         return [
             Play(side, checkout, *pair)
@@ -224,7 +230,7 @@
 ) -> None:
     """Play all pairs and print each play, the mean and a verdict.
 
-    :param keep: the checkout whose journal gets the entries of both.
+    :param keep: the checkout whose journal receives the entries of both.
     """
     planned = Plan.from_file(plan)
     options = play_options(why, charged=planned.charged)
@@ -235,37 +241,37 @@
                 planned.plays(),
             ),
         )
-    keep_journals((planned.before, planned.after), keep)
-    _report(results, as_json=json)
+    merge_journals((planned.before, planned.after), keep)
+    _print_report(results, as_json=json)
 
 
-def _report(results: list[Played], *, as_json: bool) -> None:
+def _print_report(results: list[PlayResult], *, as_json: bool) -> None:
     comparison = compare(pair_up(results))
     if as_json:
         rows = [
             {**each.play._asdict(), 'worth': each.worth, 'note': each.note}
             for each in results
         ]
-        whole = {'comparison': comparison._asdict(), 'plays': rows}
-        print(json_codec.dumps(whole, indent=2))
+        report = {'comparison': comparison._asdict(), 'plays': rows}
+        print(json_codec.dumps(report, indent=2))
         return
     for row in results:
         print(*row.play.pair, row.play.side, row.worth, row.note, sep='\t')
-    print(summary(comparison, failed=_failures(results)))
+    print(format_summary(comparison, failed=_count_failures(results)))
 
 
-def _failures(results: list[Played]) -> int:
+def _count_failures(results: list[PlayResult]) -> int:
     return sum(each.worth is None for each in results)
 
 
-def summary(comparison: Comparison, *, failed: int) -> str:
-    """Say in a line what came of the pairs, failed plays included."""
+def format_summary(comparison: Comparison, *, failed: int) -> str:
+    """Summarize the comparison and the number of failed plays in one line."""
     return (
         f'{comparison.pairs} pairs, {failed} plays failed: '
-        f'{comparison.mean_before:.{DIGITS}f} to '
-        f'{comparison.mean_after:.{DIGITS}f}, '
-        f'difference {comparison.difference:+.{DIGITS}f} '
-        f'with an error of {comparison.error:.{DIGITS}f}: '
+        f'{comparison.mean_before:.{DECIMALS}f} to '
+        f'{comparison.mean_after:.{DECIMALS}f}, '
+        f'difference {comparison.difference:+.{DECIMALS}f} '
+        f'with an error of {comparison.error:.{DECIMALS}f}: '
         f'{comparison.verdict}'
     )
 
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the benches."""
+"""Tests of the benchmarks."""
