--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two targets set up everything a new machine needs: `make demo`, `make test`.
+# `make demo` and `make test` install everything that a new machine needs.
 PYTHON ?= python3.11
 VENV := .venv
 BIN := $(VENV)/bin
@@ -22,7 +22,7 @@
 	$(BIN)/ruff format .
 	$(BIN)/ruff check --fix .
 
-# Only after a change of peer.thrift; needs Debian's thrift-compiler.
+# Run this only after changing peer.thrift. It needs Debian's thrift-compiler.
 wire:
 	thrift --gen py:slots,package_prefix=hornbeamdeck.wire.gen. \
 		-out hornbeamdeck/wire/gen hornbeamdeck/wire/peer.thrift
