--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -21,7 +21,7 @@
 import fire
 
 from bench.pairs import (
-    Plan,
+    PairPlan,
     Play,
     PlayResult,
     merge_journals,
@@ -83,13 +83,15 @@
     if name:
         remove_mechanism(ablations[name], pathlib.Path(checkout))
     elif plan:
-        play_ablations(Plan.from_file(plan), player, pathlib.Path(copies), jobs)
+        play_ablations(
+            PairPlan.from_file(plan), player, pathlib.Path(copies), jobs
+        )
     else:
         print('\n'.join(ablations))
 
 
 def play_ablations(
-    plan: Plan,
+    plan: PairPlan,
     player: str,
     copies: pathlib.Path,
     jobs: int,
--- a/bench/weakened.py
+++ b/bench/ablated_instance.py
@@ -1,6 +1,6 @@
 """An instance with one mechanism disabled, used by bench.faults only.
 
-    python -m bench.weakened claim serve --settings FILE
+    python -m bench.ablated_instance claim serve --settings FILE
 
 It serves to show that each count of bench.faults rises when the mechanism that
 prevents it is missing.
@@ -18,9 +18,9 @@
 from hornbeamdeck.connection.engine_stream import EngineStream
 from hornbeamdeck.connection.errors import ConnectionBroken
 from hornbeamdeck.process import instance, scheduler
-from hornbeamdeck.request import answer, claim, relay
-from hornbeamdeck.request.once import Once
-from hornbeamdeck.scheduling import suspicion
+from hornbeamdeck.request import admitted_request, claim, relay
+from hornbeamdeck.request.execution_right import Once
+from hornbeamdeck.scheduling import upstream_crash_tracker
 
 
 async def _async_do_nothing(*_args: Any) -> None:
@@ -38,7 +38,11 @@
 
 def _without_isolation() -> None:
     """Never treat a request as the cause of a crash."""
-    _patch(suspicion.Suspicions, 'is_culprit', lambda *_args: False)
+    _patch(
+        upstream_crash_tracker.UpstreamCrashTracker,
+        'is_culprit',
+        lambda *_args: False,
+    )
 
 
 def _without_leaving() -> None:
@@ -63,7 +67,9 @@
     async def _async_fail_to_resume(
         _self: Any,
     ) -> Result[None, ConnectionBroken]:
-        return Err(ConnectionBroken('resuming is disabled by bench.weakened'))
+        return Err(
+            ConnectionBroken('resuming is disabled by bench.ablated_instance')
+        )
 
     _patch(EngineStream, '_async_resume', _async_fail_to_resume)
     original_relay = relay.async_relay
@@ -100,7 +106,7 @@
             limit_ms=limit_ms,
         )
 
-    _patch(answer, 'async_relay', _async_relay_twice)
+    _patch(admitted_request, 'async_relay', _async_relay_twice)
 
 
 def _without_end_mark() -> None:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,15 +15,20 @@
 import curio
 import fire
 
-from bench.processes import Plan, ProcessFleet, ask, process_fleet
+from bench.processes import (
+    ProcessFleet,
+    ProcessFleetPlan,
+    fetch_json,
+    process_fleet,
+)
 from bench.worker import SHORT_CALL
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import ENCODING, PREFIX_INSTANCE
-from hornbeamdeck.demo.caller import async_call
-from hornbeamdeck.demo.document import make_document
+from hornbeamdeck.demo.client import async_call
+from hornbeamdeck.demo.configuration import make_configuration
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
@@ -110,7 +115,7 @@
 
 def _make_document_text(count: int) -> str:
     address = Address('127.0.0.1', 1)
-    raw = make_document([address], [], max_running=1, max_prompt_tokens=1)
+    raw = make_configuration([address], [], max_running=1, max_prompt_tokens=1)
     model = raw['teams'][0]
     raw['teams'] = [
         {
@@ -156,7 +161,7 @@
 
 
 def _make_cell(upstreams: int) -> Cell:
-    raw = make_document(
+    raw = make_configuration(
         [Address('127.0.0.1', 1000 + each) for each in range(upstreams)],
         [],
         max_running=4,
@@ -269,7 +274,9 @@
 
 
 def _measure_idle_fleet(count: int) -> Figures:
-    with process_fleet(Plan(instances=count, speeds=(1.0,))) as fleet:
+    with process_fleet(
+        ProcessFleetPlan(instances=count, speeds=(1.0,))
+    ) as fleet:
         time.sleep(2)
         calls_before = _count_platform_calls(fleet)
         cpu_before_s = sum(each.cpu_s() for each in fleet.instances)
@@ -288,13 +295,13 @@
 
 
 def _count_platform_calls(fleet: ProcessFleet) -> int:
-    switches = ask(fleet.platform.address, '/standin/switches', {})
+    switches = fetch_json(fleet.platform.address, '/standin/switches', {})
     return sum(switches['calls'].values())
 
 
 def measure_peer_bytes() -> Figures:
     """Measure the bytes between instances for one streamed request."""
-    with process_fleet(Plan(instances=2, speeds=(20.0,))) as fleet:
+    with process_fleet(ProcessFleetPlan(instances=2, speeds=(20.0,))) as fleet:
         ingress = fleet.instances[1 - fleet.owner_of(CELL)]
         entry = _short_stream()
         curio.run(_async_make_calls, ingress.address, entry)
@@ -321,7 +328,7 @@
 
 
 async def _async_fetch_metrics(address: Address) -> str:
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         HttpRequest('GET', '/metrics', '', {}, b''),
         timeout_ms=2000,
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -13,16 +13,16 @@
 import curio
 import fire
 
-from bench.processes import Plan, ProcessFleet, process_fleet
-from bench.running import ServerProcess
+from bench.processes import ProcessFleet, ProcessFleetPlan, process_fleet
+from bench.server_process import ServerProcess
 from bench.worker import SHORT_CALL
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.report import P50, P95, percentile
 from hornbeamdeck.demo.trace import TraceEntry
 
-FAST_FLEET: Final = Plan(speeds=(50.0, 50.0, 50.0), max_running=64)
+FAST_FLEET: Final = ProcessFleetPlan(speeds=(50.0, 50.0, 50.0), max_running=64)
 WORKER_COUNT: Final = 3
 DECIMALS: Final = 2
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -15,15 +15,15 @@
 import fire
 
 from bench.processes import (
-    Plan,
     ProcessFleet,
-    async_get,
-    async_put,
+    ProcessFleetPlan,
+    async_get_json,
+    async_put_json,
     process_fleet,
 )
-from bench.running import ServerProcess, end
+from bench.server_process import ServerProcess, kill_process
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.demo.caller import CallRecord, async_call
+from hornbeamdeck.demo.client import CallResult, async_call
 from hornbeamdeck.demo.trace import TraceEntry
 
 INSTANCES: Final = 5
@@ -77,8 +77,8 @@
         """Create a scenario with no calls and no faults."""
         self.fleet = fleet
         self.rng = random.Random(seed)
-        self.records: list[CallRecord] = []
-        self.records_by_key: dict[str, list[CallRecord]] = {}
+        self.records: list[CallResult] = []
+        self.records_by_key: dict[str, list[CallResult]] = {}
         self.faults: Counter[str] = Counter()
         self.cut_off_by_stop = 0
         self.sent_to_draining = 0
@@ -95,7 +95,7 @@
         ]
         return self.rng.choice(up)
 
-    async def async_call(self, entry: TraceEntry, number: int) -> CallRecord:
+    async def async_call(self, entry: TraceEntry, number: int) -> CallResult:
         """Make one call and record its outcome."""
         record = await async_call(entry, number, self.pick_address())
         self.records.append(record)
@@ -126,7 +126,7 @@
         self,
         entry: TraceEntry,
         number: int,
-        attempts: list[CallRecord],
+        attempts: list[CallResult],
     ) -> bool:
         record = await self.async_call(entry, number)
         attempts.append(record)
@@ -179,7 +179,7 @@
     number, server = _pick_instance(scenario)
     server.process.kill()
     scenario.down_instances.add(number)
-    await curio.run_in_thread(end, server)
+    await curio.run_in_thread(kill_process, server)
     await curio.sleep(1)
     await _async_restart(scenario, number)
 
@@ -202,33 +202,33 @@
 
 async def _async_outage(scenario: Scenario) -> None:
     address = scenario.fleet.platform.address
-    await async_put(address, SWITCHES, {'is_down': True})
+    await async_put_json(address, SWITCHES, {'is_down': True})
     await curio.sleep(scenario.rng.uniform(1, 4))
-    await async_put(address, SWITCHES, {'is_down': False})
+    await async_put_json(address, SWITCHES, {'is_down': False})
 
 
 async def _async_slow_platform(scenario: Scenario) -> None:
     address = scenario.fleet.platform.address
-    await async_put(address, SWITCHES, {'delay_ms': 300})
+    await async_put_json(address, SWITCHES, {'delay_ms': 300})
     await curio.sleep(3)
-    await async_put(address, SWITCHES, {'delay_ms': 0})
+    await async_put_json(address, SWITCHES, {'delay_ms': 0})
 
 
 async def _async_lost_answers(scenario: Scenario) -> None:
     address = scenario.fleet.platform.address
-    await async_put(address, SWITCHES, {'lost_answers': 5})
+    await async_put_json(address, SWITCHES, {'lost_answers': 5})
 
 
 async def _async_engine_outage(scenario: Scenario) -> None:
     engine = scenario.rng.choice(scenario.fleet.engines[1:])
-    await async_put(engine.address, SWITCHES, {'down_ms': 1500})
+    await async_put_json(engine.address, SWITCHES, {'down_ms': 1500})
 
 
 async def _async_engine_cut(scenario: Scenario) -> None:
     # This simulates the restart of a network switch between the instances and
     # the engines.
     for engine in scenario.fleet.engines:
-        await async_put(engine.address, SWITCHES, {'is_cut': True})
+        await async_put_json(engine.address, SWITCHES, {'is_cut': True})
 
 
 async def _async_leaving(scenario: Scenario) -> None:
@@ -239,14 +239,14 @@
     engine = scenario.fleet.engines[0]
     platform = scenario.fleet.platform.address
     listed = {str(engine.address): 'leaving'}
-    await async_put(platform, '/standin/instances', listed)
+    await async_put_json(platform, '/standin/instances', listed)
     await curio.sleep(DRAINING_GRACE_S)
-    before = await async_get(engine.address, RECORDS)
+    before = await async_get_json(engine.address, RECORDS)
     await curio.sleep(3)
-    after = await async_get(engine.address, RECORDS)
+    after = await async_get_json(engine.address, RECORDS)
     scenario.sent_to_draining += len(after['runs']) - len(before['runs'])
     listed[str(engine.address)] = 'live'
-    await async_put(platform, '/standin/instances', listed)
+    await async_put_json(platform, '/standin/instances', listed)
     scenario.is_engine_draining = False
 
 
@@ -288,7 +288,7 @@
 async def _async_send_poison(scenario: Scenario) -> None:
     """Repeatedly send one request that crashes its engine."""
     for engine in scenario.fleet.engines:
-        await async_put(
+        await async_put_json(
             engine.address,
             SWITCHES,
             {'break_mark': f'{POISON_CALL_NUMBER} guides'},
@@ -303,7 +303,7 @@
 
 async def _async_read_records(scenario: Scenario) -> list[Any]:
     return [
-        await async_get(engine.address, RECORDS)
+        await async_get_json(engine.address, RECORDS)
         for engine in scenario.fleet.engines
     ]
 
@@ -315,7 +315,7 @@
     await group.join()
     await curio.sleep(SETTLE_S)
     records = await _async_read_records(scenario)
-    booking = await async_get(scenario.fleet.booking.address, RECORDS)
+    booking = await async_get_json(scenario.fleet.booking.address, RECORDS)
     await _async_send_poison(scenario)
     runs: Counter[str] = Counter()
     for each in records:
@@ -380,8 +380,12 @@
     :param without: a mechanism to disable: claim, drain, end-mark,
         isolation, leaving or single-dispatch.
     """
-    module = ('bench.weakened', without) if without else ('hornbeamdeck',)
-    plan = Plan(instances=INSTANCES, speeds=ENGINE_SPEEDS, module=module)
+    module = (
+        ('bench.ablated_instance', without) if without else ('hornbeamdeck',)
+    )
+    plan = ProcessFleetPlan(
+        instances=INSTANCES, speeds=ENGINE_SPEEDS, module=module
+    )
     with process_fleet(plan) as fleet:
         counts = curio.run(_async_run_scenario, Scenario(fleet, seed), seconds)
     if json:
--- a/bench/load.py
+++ b/bench/load.py
@@ -11,12 +11,17 @@
 import curio
 import fire
 
-from bench.processes import Plan, ProcessFleet, ask, process_fleet
-from hornbeamdeck.demo.caller import CallRecord
-from hornbeamdeck.demo.replay import async_replay
-from hornbeamdeck.demo.report import format_table, tier_rows
+from bench.processes import (
+    ProcessFleet,
+    ProcessFleetPlan,
+    fetch_json,
+    process_fleet,
+)
+from hornbeamdeck.demo.client import CallResult
+from hornbeamdeck.demo.replay import async_replay_trace
+from hornbeamdeck.demo.report import format_table, summarize_by_tier
 from hornbeamdeck.demo.trace import TraceEntry
-from hornbeamdeck.standin.batch import EngineModel
+from hornbeamdeck.standin.batch import EngineTiming
 from hornbeamdeck.standin.engine import CHARS_PER_TOKEN
 
 DEFAULT_DURATION_S: Final = 30.0
@@ -60,7 +65,7 @@
 
 
 def make_trace(
-    plan: Plan,
+    plan: ProcessFleetPlan,
     *,
     load: float,
     seed: int,
@@ -78,13 +83,13 @@
     return entries
 
 
-def capacity_per_s(plan: Plan) -> float:
+def capacity_per_s(plan: ProcessFleetPlan) -> float:
     """Compute how many calls of the mix all engines can complete per second.
 
     The cost of a call, with a full batch, is the time for its prefill plus its
     share of a step for each output token.
     """
-    model = EngineModel()
+    model = EngineTiming()
     step_ms = model.step_ms / model.max_batch + model.step_per_answer_ms
     cost_ms = sum(
         share.weight
@@ -109,30 +114,31 @@
     :param policy: grant, round_robin or least_reported_load.
     :param load: offered load as a multiple of the engines' capacity.
     """
-    plan = Plan(policy=policy)
+    plan = ProcessFleetPlan(policy=policy)
     trace = make_trace(plan, load=load, seed=seed, duration_s=duration_s)
-    records: list[CallRecord] = []
+    records: list[CallResult] = []
     with process_fleet(plan) as fleet:
         addresses = [instance.address for instance in fleet.instances]
-        curio.run(async_replay, trace, addresses, records.append)
+        curio.run(async_replay_trace, trace, addresses, records.append)
         report = _make_report(fleet, records, load, seed, duration_s)
     if json:
         print(_to_json(report))
         return
-    print(format_table(tier_rows(records)))
+    print(format_table(summarize_by_tier(records)))
     print(f'wasted prefill {report.wasted_prefill:.4f}')
 
 
 def _make_report(
     fleet: ProcessFleet,
-    records: list[CallRecord],
+    records: list[CallResult],
     load: float,
     seed: int,
     duration_s: float,
 ) -> LoadReport:
-    rows = tier_rows(records)
+    rows = summarize_by_tier(records)
     records_by_engine = [
-        ask(engine.address, '/standin/records') for engine in fleet.engines
+        fetch_json(engine.address, '/standin/records')
+        for engine in fleet.engines
     ]
     prefilled = sum(each['prefilled_tokens'] for each in records_by_engine)
     wasted = sum(each['wasted_prefill_tokens'] for each in records_by_engine)
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -9,12 +9,17 @@
 import curio
 import fire
 
-from bench.processes import Plan, ProcessFleet, async_put, process_fleet
+from bench.processes import (
+    ProcessFleet,
+    ProcessFleetPlan,
+    async_put_json,
+    process_fleet,
+)
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.demo.caller import async_call
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.client import async_call
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.trace import TraceEntry
 
 OUTAGE_S: Final = 30.0
@@ -25,7 +30,7 @@
 
 async def _async_issue_key(address: Address) -> str:
     headers = {'authorization': f'Bearer {team_key(TEAM)}'}
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         HttpRequest('POST', '/v1/idempotency-keys', '', headers, b''),
         timeout_ms=2000,
@@ -65,7 +70,7 @@
     fleet: ProcessFleet, seconds: float
 ) -> dict[str, int]:
     platform = fleet.platform.address
-    await async_put(platform, SWITCHES, {'is_down': True})
+    await async_put_json(platform, SWITCHES, {'is_down': True})
     counts: dict[str, int] = {}
     group = curio.TaskGroup()
     for number in range(int(seconds * CALLS_PER_S)):
@@ -73,13 +78,13 @@
         await group.spawn(_async_book, fleet, number, is_issued, counts)
         await curio.sleep(1 / CALLS_PER_S)
     await group.join()
-    await async_put(platform, SWITCHES, {'is_down': False})
+    await async_put_json(platform, SWITCHES, {'is_down': False})
     return counts
 
 
 def run(seconds: float = OUTAGE_S, json: bool = False) -> None:
     """Make bookings with alternating kinds of key during an outage."""
-    with process_fleet(Plan(speeds=(1.0,))) as fleet:
+    with process_fleet(ProcessFleetPlan(speeds=(1.0,))) as fleet:
         figures: dict[str, Any] = curio.run(
             _async_book_in_outage, fleet, seconds
         )
--- a/bench/pairs.py
+++ b/bench/pairs.py
@@ -191,7 +191,7 @@
         shutil.copytree(source, target, dirs_exist_ok=True)
 
 
-class Plan(NamedTuple):
+class PairPlan(NamedTuple):
     """The days to play and the checkouts that play them."""
 
     before: str
@@ -232,7 +232,7 @@
 
     :param keep: the checkout whose journal receives the entries of both.
     """
-    planned = Plan.from_file(plan)
+    planned = PairPlan.from_file(plan)
     options = play_options(why, charged=planned.charged)
     with ThreadPoolExecutor(jobs) as pool:
         results = list(
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -10,13 +10,18 @@
 
 import curio
 
-from bench.running import ServerProcess, end, start, wait_until
+from bench.server_process import (
+    ServerProcess,
+    kill_process,
+    start_process,
+    wait_until,
+)
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.connection.platform import PlatformClient
+from hornbeamdeck.connection.store_client import PlatformClient
 from hornbeamdeck.const import ENCODING, KEY_CONFIGURATION
-from hornbeamdeck.demo.document import make_document
+from hornbeamdeck.demo.configuration import make_configuration
 from hornbeamdeck.process.rendezvous import owner_of
 
 ANY_PORT: Final = '127.0.0.1:0'
@@ -24,7 +29,7 @@
 ROLE: Final = 'bench'
 
 
-class Plan(NamedTuple):
+class ProcessFleetPlan(NamedTuple):
     """What to start; the fields mean the same as in the demo's fleet.
 
     :param module: the module that `python -m` runs as an instance, followed by
@@ -43,7 +48,7 @@
 class ProcessFleet(NamedTuple):
     """All processes of a benchmark."""
 
-    plan: Plan
+    plan: ProcessFleetPlan
     folder: pathlib.Path
     platform: ServerProcess
     engines: list[ServerProcess]
@@ -65,7 +70,7 @@
         }
         path = self.folder / f'instance-{number}.json'
         path.write_text(json.dumps(settings))
-        return start(
+        return start_process(
             self.folder,
             f'instance-{number}',
             ['serve', '--settings', str(path)],
@@ -85,14 +90,14 @@
 
 
 @contextmanager
-def process_fleet(plan: Plan) -> Iterator[ProcessFleet]:
+def process_fleet(plan: ProcessFleetPlan) -> Iterator[ProcessFleet]:
     """Start a fleet and kill all its processes at the end."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         started: list[ServerProcess] = []
 
         def _start_standin(kind: str, *arguments: str) -> ServerProcess:
-            server = start(
+            server = start_process(
                 folder,
                 f'{kind}-{len(started)}',
                 ['standin', kind, *arguments],
@@ -119,10 +124,10 @@
             yield fleet
         finally:
             for server in (*fleet.instances, *started):
-                end(server)
+                kill_process(server)
 
 
-def ask(address: Address, path: str, body: Any = None) -> Any:
+def fetch_json(address: Address, path: str, body: Any = None) -> Any:
     """Call an endpoint of a stand-in or an instance and parse its JSON."""
     method = 'GET' if body is None else 'PUT'
     encoded = b'' if body is None else json.dumps(body).encode(ENCODING)
@@ -130,21 +135,21 @@
     return json.loads(curio.run(_async_fetch, address, request))
 
 
-async def async_put(address: Address, path: str, body: Any) -> Any:
+async def async_put_json(address: Address, path: str, body: Any) -> Any:
     """Send JSON to a stand-in with PUT, from a curio task."""
     encoded = json.dumps(body).encode(ENCODING)
     request = HttpRequest('PUT', path, '', {}, encoded)
     return json.loads(await _async_fetch(address, request))
 
 
-async def async_get(address: Address, path: str) -> Any:
+async def async_get_json(address: Address, path: str) -> Any:
     """Read JSON from an endpoint, from a curio task."""
     request = HttpRequest('GET', path, '', {}, b'')
     return json.loads(await _async_fetch(address, request))
 
 
 async def _async_fetch(address: Address, request: HttpRequest) -> bytes:
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         request,
         timeout_ms=CALL_TIMEOUT_MS,
@@ -153,11 +158,11 @@
 
 
 def _is_ready(address: Address) -> bool:
-    return bool(ask(address, '/healthz')['state'] == 'ready')
+    return bool(fetch_json(address, '/healthz')['state'] == 'ready')
 
 
 def _configure(fleet: ProcessFleet) -> None:
-    document = make_document(
+    document = make_configuration(
         [engine.address for engine in fleet.engines],
         [fleet.booking.address],
         max_running=fleet.plan.max_running,
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,8 +20,8 @@
 from bench.replay_load import Arrival, LoadPlan, Loss, draw_arrivals
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.process.engine_directory import Engine
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.cell import Refused
-from hornbeamdeck.scheduling.cell_door import Shared
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import (
@@ -29,7 +29,7 @@
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import EngineTraits
+from hornbeamdeck.version.gateway import EngineProperties
 from hornbeamdeck.wire import Enqueue, Message, Progress, Release, RunEnd
 
 # Delay from a grant until the request reaches the engine, and from an event at
@@ -387,7 +387,7 @@
         is_first_start=True,
     )
     cell = EngineCell(
-        Shared(quotas=quotas, teams={}),
+        SharedState(quotas=quotas, teams={}),
         RetryBudget(ratio=0.2, slack=100, window_ms=10_000),
     )
     engines = [
@@ -402,7 +402,7 @@
         )
         for each in range(len(plan.slowness))
     ]
-    traits = EngineTraits(plan.slots, TOKENS_PER_EVENT, 660_000)
+    traits = EngineProperties(plan.slots, TOKENS_PER_EVENT, 660_000)
     cell.adopt(engines, traits, {})
     return cell
 
--- a/bench/running.py
+++ b/bench/server_process.py
@@ -49,7 +49,7 @@
                 yield json.loads(line)
 
 
-def start(
+def start_process(
     folder: pathlib.Path,
     name: str,
     arguments: list[str],
@@ -91,7 +91,7 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def end(server: ServerProcess) -> None:
+def kill_process(server: ServerProcess) -> None:
     """Kill a process, even if it is suspended by SIGSTOP, and wait for it."""
     if server.process.poll() is None:
         server.process.send_signal(signal.SIGCONT)
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -11,7 +11,7 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.trace import TraceEntry
 
 SHORT_CALL: Final = TraceEntry(
--- a/hornbeamdeck/cli.py
+++ b/hornbeamdeck/cli.py
@@ -12,18 +12,18 @@
 from hornbeamdeck.demo.run import async_demo
 from hornbeamdeck.explain import (
     LogLines,
-    describe_way,
+    describe_request,
     explain_all,
     make_report,
     read_lines,
 )
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from hornbeamdeck.process.logs import setup_logs
 from hornbeamdeck.process.serve import async_serve
 from hornbeamdeck.process.settings import (
     Settings,
-    load_checked,
     load_settings,
+    load_settings_file,
 )
 from hornbeamdeck.standin.commands import async_run_standin
 
@@ -60,7 +60,7 @@
 
     :param path: path of the settings file (JSON).
     """
-    checked = load_checked(path, _parse_settings)
+    checked = load_settings_file(path, _parse_settings)
     if isinstance(checked, Err):
         for error in checked.err_value:
             print(error, file=sys.stderr)
@@ -68,9 +68,9 @@
     print(f'{path}: {checked.ok_value.instance_id}: no errors')
 
 
-def _parse_settings(raw: dict[str, Any]) -> Settings | FrontSettings:
+def _parse_settings(raw: dict[str, Any]) -> Settings | GatewaySettings:
     if 'entries_address' in raw:
-        return FrontSettings.from_config(raw)
+        return GatewaySettings.from_config(raw)
     return Settings.from_config(raw)
 
 
@@ -129,7 +129,7 @@
         if request_lines is None:
             print(f'{log}: no line of {request_id}', file=sys.stderr)
             sys.exit(EXIT_FAILED)
-        output: Iterable[str] = describe_way(request_lines)
+        output: Iterable[str] = describe_request(request_lines)
         if json:
             output = [json_codec.dumps(request_lines)]
     else:
--- a/hornbeamdeck/connection/address.py
+++ b/hornbeamdeck/connection/address.py
@@ -8,7 +8,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.errors import ConnectFailed
 
 __all__ = ('Address', 'async_connect', 'listen')
@@ -63,7 +63,7 @@
     """
     sock = _new_socket(address)
     try:
-        await async_within(
+        await async_with_timeout(
             timeout_ms,
             sock.connect(tuple(address)),
         )
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -8,7 +8,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.errors import ConnectFailed, ConnectionBroken
 from hornbeamdeck.connection.http import (
@@ -19,7 +19,7 @@
     join_headers,
 )
 
-__all__ = ('ClientConnection', 'async_fetch_once')
+__all__ = ('ClientConnection', 'async_fetch_on_new_connection')
 
 MAX_HEADER_BYTES: Final = 65_536
 MAX_BODY_BYTES: Final = 16_777_216
@@ -192,7 +192,7 @@
             return Err(ConnectionBroken(repr(error)))
 
 
-async def async_fetch_once(
+async def async_fetch_on_new_connection(
     address: Address,
     request: HttpRequest,
     *,
@@ -207,7 +207,7 @@
     if isinstance(opened, Err):
         return opened
     try:
-        return await async_within(
+        return await async_with_timeout(
             timeout_ms,
             opened.ok_value.async_fetch(request),
         )
--- a/hornbeamdeck/connection/kept.py
+++ b/hornbeamdeck/connection/connection_pool.py
@@ -9,7 +9,7 @@
 from hornbeamdeck.connection.http import Headers
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('KeptConnections', 'kept_for_ms')
+__all__ = ('ConnectionPool', 'keep_alive_ms')
 
 # Share of an engine's announced keep-alive time in which a connection is
 # reused. The rest covers a request that is in transit when that time ends.
@@ -27,7 +27,7 @@
     expires_ms: float
 
 
-class KeptConnections:
+class ConnectionPool:
     """Keeps idle connections by engine; the last used is taken first.
 
     An idle connection may break without notice, or hold a late response to an
@@ -98,7 +98,7 @@
                 self._idle.pop(engine, None)
 
 
-def kept_for_ms(headers: Headers) -> float:
+def keep_alive_ms(headers: Headers) -> float:
     """Return how long a connection may stay idle after a response.
 
     :param headers: of the response. An engine that announces no keep-alive
--- a/hornbeamdeck/connection/engine_stream.py
+++ b/hornbeamdeck/connection/engine_stream.py
@@ -15,17 +15,17 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.errors import ConnectionBroken
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 
-__all__ = ('HEADER_RESUMABLE', 'HEADER_STREAM', 'EngineStream')
+__all__ = ('HEADER_RESUMABLE', 'HEADER_STREAM_ID', 'EngineStream')
 
 _LOGGER = structlog.get_logger(prefix='engine stream')
 
 HEADER_RESUMABLE: Final = 'hornbeamdeck-resumable'
-HEADER_STREAM: Final = 'hornbeamdeck-stream'
+HEADER_STREAM_ID: Final = 'hornbeamdeck-stream'
 STREAMS_PATH: Final = '/v1/streams'
 RESUME_DELAYS_S: Final = (0.02, 0.1, 0.3)
 CONNECT_TIMEOUT_MS: Final = 500
@@ -46,7 +46,7 @@
         :param head: holds the stream id if the engine can resume the stream.
         """
         self._connection = connection
-        self._stream_id = head.headers.get(HEADER_STREAM, '')
+        self._stream_id = head.headers.get(HEADER_STREAM_ID, '')
         self._received_bytes = 0
 
     async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
@@ -110,7 +110,7 @@
         path = f'{STREAMS_PATH}/{self._stream_id}'
         is_accepted = False
         try:
-            is_accepted = await async_within(
+            is_accepted = await async_with_timeout(
                 RESPONSE_TIMEOUT_MS,
                 _async_is_accepted(
                     connection,
--- a/hornbeamdeck/connection/listener.py
+++ b/hornbeamdeck/connection/listener.py
@@ -13,7 +13,7 @@
 _LOGGER = structlog.get_logger(prefix='listener')
 
 ServeConnection: TypeAlias = Callable[[socket.socket], Awaitable[None]]
-Unload: TypeAlias = Callable[[], Awaitable[None]]
+AsyncClose: TypeAlias = Callable[[], Awaitable[None]]
 
 
 class Listener(NamedTuple):
@@ -25,8 +25,8 @@
     """
 
     address: Address
-    async_stop_accepting: Unload
-    async_unload: Unload
+    async_stop_accepting: AsyncClose
+    async_unload: AsyncClose
 
 
 async def async_setup_listener(
--- a/hornbeamdeck/connection/peer.py
+++ b/hornbeamdeck/connection/peer.py
@@ -10,7 +10,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.errors import ConnectFailed, ConnectionBroken
 from hornbeamdeck.const import ENCODING
@@ -99,7 +99,7 @@
         :param is_caller: whether this side opened the connection.
         """
         try:
-            return await async_within(
+            return await async_with_timeout(
                 HANDSHAKE_TIMEOUT_MS,
                 self._async_exchange_proofs(is_caller),
             )
--- a/hornbeamdeck/connection/reader.py
+++ b/hornbeamdeck/connection/reader.py
@@ -8,7 +8,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.errors import (
     BadRequest,
     ConnectionBroken,
@@ -60,7 +60,7 @@
         a task and its memory without end.
         """
         try:
-            first_byte = await async_within(
+            first_byte = await async_with_timeout(
                 self._limits.idle_ms,
                 self._async_wait_first_byte(),
             )
@@ -69,7 +69,7 @@
         if isinstance(first_byte, Err):
             return first_byte
         try:
-            return await async_within(
+            return await async_with_timeout(
                 self._limits.request_ms,
                 self._async_read_rest(),
             )
--- a/hornbeamdeck/connection/exchange.py
+++ b/hornbeamdeck/connection/request_loop.py
@@ -11,15 +11,17 @@
 from hornbeamdeck.connection.reader import ReadLimits
 from hornbeamdeck.connection.server import ServerConnection
 
-__all__ = ('Answer', 'Refusal', 'async_serve_requests')
+__all__ = ('RequestHandler', 'Refusal', 'async_serve_requests')
 
-Answer: TypeAlias = Callable[[HttpRequest, ServerConnection], Awaitable[None]]
+RequestHandler: TypeAlias = Callable[
+    [HttpRequest, ServerConnection], Awaitable[None]
+]
 Refusal: TypeAlias = Callable[[BadRequest], HttpResponse]
 
 
 async def async_serve_requests(
     sock: socket.socket,
-    handle_request: Answer,
+    handle_request: RequestHandler,
     to_error_response: Refusal,
     limits: ReadLimits | None = None,
 ) -> None:
@@ -57,7 +59,7 @@
 async def _async_handle(
     connection: ServerConnection,
     request: HttpRequest,
-    handle_request: Answer,
+    handle_request: RequestHandler,
 ) -> None:
     # A request whose caller has disconnected would otherwise stay in the wait
     # queue or keep its run on an engine. The watcher cancels this task when
--- a/hornbeamdeck/connection/server.py
+++ b/hornbeamdeck/connection/server.py
@@ -8,7 +8,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.errors import ConnectionBroken, ReadError
 from hornbeamdeck.connection.http import (
     Headers,
@@ -137,7 +137,9 @@
         """
         try:
             await self._sock.shutdown(socket.SHUT_WR)
-            await async_within(LINGER_MS, self._reader.async_discard_input())
+            await async_with_timeout(
+                LINGER_MS, self._reader.async_discard_input()
+            )
         except (OSError, TaskTimeout):
             return
 
@@ -152,7 +154,9 @@
         encoded: bytes,
     ) -> Result[None, ConnectionBroken]:
         try:
-            await async_within(WRITE_TIMEOUT_MS, self._sock.sendall(encoded))
+            await async_with_timeout(
+                WRITE_TIMEOUT_MS, self._sock.sendall(encoded)
+            )
         except (OSError, TaskTimeout) as error:
             return Err(ConnectionBroken(repr(error)))
         return Ok(None)
--- a/hornbeamdeck/connection/platform_calls.py
+++ b/hornbeamdeck/connection/store_calls.py
@@ -7,19 +7,19 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.platform_wire import PlatformDown
+from hornbeamdeck.connection.store_responses import StoreUnavailable
 
-__all__ = ('DEFAULT_TIMEOUT_MS', 'PlatformCalls')
+__all__ = ('DEFAULT_TIMEOUT_MS', 'StoreCalls')
 
 DEFAULT_TIMEOUT_MS: Final = 2000
 MAX_IDLE_CONNECTIONS: Final = 4
 
 
-class PlatformCalls:
+class StoreCalls:
     """Makes calls in any wire format; every failure counts as an outage."""
 
     def __init__(
@@ -42,7 +42,7 @@
         *,
         role: str,
         timeout_ms: int = DEFAULT_TIMEOUT_MS,
-    ) -> Result[HttpResponse, PlatformDown]:
+    ) -> Result[HttpResponse, StoreUnavailable]:
         """Make one call.
 
         :param role: component that makes the call; label of the metric that
@@ -52,12 +52,12 @@
         if self._count is not None:
             self._count(role)
         try:
-            return await async_within(
+            return await async_with_timeout(
                 timeout_ms,
                 self._async_exchange(request),
             )
         except TaskTimeout:
-            return Err(PlatformDown('no response within the time limit'))
+            return Err(StoreUnavailable('no response within the time limit'))
 
     async def async_close(self) -> None:
         """Close the pooled connections."""
@@ -67,7 +67,7 @@
     async def _async_exchange(
         self,
         request: HttpRequest,
-    ) -> Result[HttpResponse, PlatformDown]:
+    ) -> Result[HttpResponse, StoreUnavailable]:
         connection = await self._async_get_connection()
         if isinstance(connection, Err):
             return connection
@@ -83,21 +83,21 @@
                 is_reusable=is_reusable,
             )
         if isinstance(response, Err):
-            return Err(PlatformDown(response.err_value.cause))
+            return Err(StoreUnavailable(response.err_value.cause))
         if response.ok_value.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            return Err(PlatformDown(f'status {response.ok_value.status}'))
+            return Err(StoreUnavailable(f'status {response.ok_value.status}'))
         return Ok(response.ok_value)
 
     async def _async_get_connection(
         self,
-    ) -> Result[ClientConnection, PlatformDown]:
+    ) -> Result[ClientConnection, StoreUnavailable]:
         if self._idle:
             return Ok(self._idle.pop())
         opened = await ClientConnection.async_open(
             self._address,
             timeout_ms=DEFAULT_TIMEOUT_MS,
         )
-        return opened.map_err(lambda failed: PlatformDown(failed.cause))
+        return opened.map_err(lambda failed: StoreUnavailable(failed.cause))
 
     async def _async_put_back(
         self,
--- a/hornbeamdeck/connection/platform.py
+++ b/hornbeamdeck/connection/store_client.py
@@ -8,18 +8,18 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.platform_calls import (
+from hornbeamdeck.connection.store_calls import (
     DEFAULT_TIMEOUT_MS,
-    PlatformCalls,
+    StoreCalls,
 )
-from hornbeamdeck.connection.platform_wire import (
+from hornbeamdeck.connection.store_responses import (
     ListedInstance,
-    PlatformDown,
-    PlatformError,
     StoredObject,
+    StoreError,
+    StoreUnavailable,
     VersionConflict,
-    WatchAnswer,
     WatchGap,
+    WatchResponse,
     parse_changes,
     parse_instances,
     parse_object,
@@ -32,11 +32,11 @@
 __all__ = (
     'ListedInstance',
     'PlatformClient',
-    'PlatformDown',
-    'PlatformError',
+    'StoreUnavailable',
+    'StoreError',
     'StoredObject',
     'VersionConflict',
-    'WatchAnswer',
+    'WatchResponse',
     'WatchGap',
 )
 
@@ -58,14 +58,14 @@
 
         :param calls: called with the role of each call, to count it.
         """
-        self._calls = PlatformCalls(address, count=calls)
+        self._calls = StoreCalls(address, count=calls)
 
     async def async_get(
         self,
         key: str,
         *,
         role: str,
-    ) -> Result[StoredObject | None, PlatformDown]:
+    ) -> Result[StoredObject | None, StoreUnavailable]:
         """Read an object; `None` if it does not exist."""
         response = await self._async_call(
             'GET',
@@ -87,7 +87,7 @@
         expected: int | None,
         role: str,
         timeout_ms: int = DEFAULT_TIMEOUT_MS,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Write an object if it has the expected version.
 
         :param expected: version to replace; `None`: the object must not exist.
@@ -112,7 +112,7 @@
         *,
         expected: int,
         role: str,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Delete an object if it has the expected version."""
         deleted = await self._async_call(
             'DELETE',
@@ -127,7 +127,7 @@
         prefix: str,
         *,
         role: str,
-    ) -> Result[WatchAnswer, PlatformDown]:
+    ) -> Result[WatchResponse, StoreUnavailable]:
         """Read all objects whose keys have a prefix."""
         query = urlencode({'prefix': prefix})
         response = await self._async_call(
@@ -142,7 +142,7 @@
         since: int,
         role: str,
         wait_ms: int,
-    ) -> Result[WatchAnswer, PlatformDown | WatchGap]:
+    ) -> Result[WatchResponse, StoreUnavailable | WatchGap]:
         """Wait for changes under a key prefix after a revision.
 
         :param since: revision after which changes are returned.
@@ -169,7 +169,7 @@
         self,
         *,
         role: str,
-    ) -> Result[tuple[ListedInstance, ...], PlatformDown]:
+    ) -> Result[tuple[ListedInstance, ...], StoreUnavailable]:
         """Read the store's list of live and draining instances; it lags."""
         response = await self._async_call('GET', '/instances', role=role)
         return parse_response(response, parse_instances)
@@ -188,7 +188,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b'',
         timeout_ms: int = DEFAULT_TIMEOUT_MS,
-    ) -> Result[HttpResponse, PlatformDown]:
+    ) -> Result[HttpResponse, StoreUnavailable]:
         all_headers = {**(headers or {}), 'hornbeamdeck-role': role}
         request = HttpRequest(method, path, query, all_headers, body)
         return await self._calls.async_call(
--- a/hornbeamdeck/connection/platform_wire.py
+++ b/hornbeamdeck/connection/store_responses.py
@@ -11,11 +11,11 @@
 
 __all__ = (
     'ListedInstance',
-    'PlatformDown',
-    'PlatformError',
+    'StoreUnavailable',
+    'StoreError',
     'StoredObject',
     'VersionConflict',
-    'WatchAnswer',
+    'WatchResponse',
     'WatchGap',
     'parse_response',
     'parse_instances',
@@ -32,7 +32,7 @@
 _Parsed = TypeVar('_Parsed')
 
 
-class PlatformDown(NamedTuple):
+class StoreUnavailable(NamedTuple):
     """No usable response; a write may have taken effect nevertheless."""
 
     cause: str
@@ -42,7 +42,7 @@
     """The condition of a write was not met, so it took no effect."""
 
 
-PlatformError: TypeAlias = PlatformDown | VersionConflict
+StoreError: TypeAlias = StoreUnavailable | VersionConflict
 
 
 class WatchGap(NamedTuple):
@@ -57,7 +57,7 @@
     body: str | None
 
 
-class WatchAnswer(NamedTuple):
+class WatchResponse(NamedTuple):
     """Changes after a revision, and the revision for the next request."""
 
     revision: int
@@ -72,9 +72,9 @@
 
 
 def parse_response(
-    response: Result[HttpResponse, PlatformDown],
+    response: Result[HttpResponse, StoreUnavailable],
     parse: Callable[[Any], _Parsed],
-) -> Result[_Parsed, PlatformDown]:
+) -> Result[_Parsed, StoreUnavailable]:
     """Parse the JSON body of a response.
 
     A malformed response is an error like a missing one. An exception would end
@@ -84,16 +84,16 @@
     if isinstance(response, Err):
         return response
     if response.ok_value.status != HTTPStatus.OK:
-        return Err(PlatformDown(f'status {response.ok_value.status}'))
+        return Err(StoreUnavailable(f'status {response.ok_value.status}'))
     try:
         return Ok(parse(json.loads(response.ok_value.body)))
     except (ValueError, LookupError, TypeError) as error:
-        return Err(PlatformDown(f'malformed response: {error!r}'))
+        return Err(StoreUnavailable(f'malformed response: {error!r}'))
 
 
 def parse_written_version(
-    written: Result[HttpResponse, PlatformDown],
-) -> Result[int, PlatformError]:
+    written: Result[HttpResponse, StoreUnavailable],
+) -> Result[int, StoreError]:
     """Parse the version that a conditional write returned."""
     status = written.map_or(0, lambda response: response.status)
     if status in _CONDITION_FAILED:
@@ -110,14 +110,18 @@
     return StoredObject(raw['key'], raw['version'], raw['body'])
 
 
-def parse_object_list(raw: Any) -> WatchAnswer:
+def parse_object_list(raw: Any) -> WatchResponse:
     """Parse a list of objects."""
-    return WatchAnswer(raw['revision'], tuple(map(parse_object, raw['found'])))
+    return WatchResponse(
+        raw['revision'], tuple(map(parse_object, raw['found']))
+    )
 
 
-def parse_changes(raw: Any) -> WatchAnswer:
+def parse_changes(raw: Any) -> WatchResponse:
     """Parse the changes that a watch returned."""
-    return WatchAnswer(raw['revision'], tuple(map(parse_object, raw['events'])))
+    return WatchResponse(
+        raw['revision'], tuple(map(parse_object, raw['events']))
+    )
 
 
 def parse_instances(raw: Any) -> tuple[ListedInstance, ...]:
--- a/hornbeamdeck/coordination/__init__.py
+++ b/hornbeamdeck/coordination/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.platform import PlatformClient, StoredObject
+from hornbeamdeck.connection.store_client import PlatformClient, StoredObject
 from hornbeamdeck.hybrid_clock import HybridClock
 from hornbeamdeck.process.background import Background
 from hornbeamdeck.process.follower import (
@@ -15,7 +15,7 @@
 from hornbeamdeck.process.rendezvous import owner_of, ranking
 from hornbeamdeck.request.claim import Claims
 from hornbeamdeck.request.claim_record import ClaimCall
-from hornbeamdeck.request.once import Once, Recorded
+from hornbeamdeck.request.execution_right import Once, Recorded
 
 __all__ = (
     'Address',
--- a/hornbeamdeck/demo/caller.py
+++ b/hornbeamdeck/demo/client.py
@@ -7,7 +7,7 @@
 from curio.errors import TaskTimeout
 from result import Err
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import Headers, HttpRequest, HttpResponse
@@ -19,18 +19,18 @@
     HEADER_REQUEST_ID,
     HEADER_TIER,
 )
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.trace import TraceEntry
-from hornbeamdeck.standin.engine import expected_answer
+from hornbeamdeck.standin.engine import expected_response
 
-__all__ = ('CallRecord', 'async_call')
+__all__ = ('CallResult', 'async_call')
 
 CONNECT_TIMEOUT_MS: Final = 2000
 DEADLINE_GRACE_MS: Final = 500
 STATUS_BROKEN: Final = 0
 
 
-class CallRecord(NamedTuple):
+class CallResult(NamedTuple):
     """The result of a call.
 
     :param status: HTTP status; 0 if the connection broke or the client timeout
@@ -71,14 +71,14 @@
     entry: TraceEntry,
     number: int,
     address: Address,
-) -> CallRecord:
+) -> CallResult:
     """Send a call; time out `DEADLINE_GRACE_MS` after its deadline.
 
     :param number: number of the entry in its trace.
     """
     start_ms = now_ms()
     try:
-        response = await async_within(
+        response = await async_with_timeout(
             entry.deadline_ms + DEADLINE_GRACE_MS,
             _async_exchange(_make_request(entry, number), address),
         )
@@ -170,12 +170,12 @@
     number: int,
     response: _Response,
     start_ms: float,
-) -> CallRecord:
+) -> CallResult:
     is_success = response.has_ended and response.status in {
         HTTPStatus.OK,
         HTTPStatus.CREATED,
     }
-    return CallRecord(
+    return CallResult(
         entry=entry,
         status=response.status if response.has_ended else STATUS_BROKEN,
         outcome=_outcome(response),
@@ -199,7 +199,7 @@
 def _is_complete(entry: TraceEntry, number: int, response: _Response) -> bool:
     if entry.path:
         return entry.idempotency_key in response.body.decode(ENCODING)
-    expected = expected_answer(entry.prompt(number), entry.output_tokens)
+    expected = expected_response(entry.prompt(number), entry.output_tokens)
     if not entry.is_stream:
         parsed = json.loads(response.body)
         return bool(parsed['choices'][0]['message']['content'] == expected)
--- a/hornbeamdeck/demo/document.py
+++ b/hornbeamdeck/demo/configuration.py
@@ -29,7 +29,7 @@
     KIND_PLAIN,
 )
 
-__all__ = ('MODEL_SERVICE', 'BOOKING_SERVICE', 'make_document', 'team_key')
+__all__ = ('MODEL_SERVICE', 'BOOKING_SERVICE', 'make_configuration', 'team_key')
 
 MODEL_SERVICE: Final = 'desk'
 BOOKING_SERVICE: Final = 'counter'
@@ -43,7 +43,7 @@
 )
 
 
-def make_document(
+def make_configuration(
     engines: Iterable[Address],
     booking_services: Iterable[Address],
     *,
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -9,12 +9,12 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.listener import Listener
-from hornbeamdeck.connection.platform import PlatformClient
+from hornbeamdeck.connection.store_client import PlatformClient
 from hornbeamdeck.const import KEY_CONFIGURATION
-from hornbeamdeck.demo.document import make_document
+from hornbeamdeck.demo.configuration import make_configuration
 from hornbeamdeck.process.instance import Instance, async_setup_instance
 from hornbeamdeck.process.settings import Settings
-from hornbeamdeck.standin.batch import EngineModel
+from hornbeamdeck.standin.batch import EngineTiming
 from hornbeamdeck.standin.booking import BookingStandin, async_setup_booking
 from hornbeamdeck.standin.engine import EngineStandin, async_setup_engine
 from hornbeamdeck.standin.platform import (
@@ -62,7 +62,7 @@
         platform, listener = await async_setup_platform(ANY_PORT)
         booking, booking_listener = await async_setup_booking(ANY_PORT)
         engines = [
-            await async_setup_engine(ANY_PORT, EngineModel(speed=speed))
+            await async_setup_engine(ANY_PORT, EngineTiming(speed=speed))
             for speed in plan.speeds
         ]
         fleet = cls(
@@ -101,7 +101,7 @@
         :param engines: addresses of the engines.
         :param booking_address: address of the booking service.
         """
-        document = make_document(
+        document = make_configuration(
             engines,
             [booking_address],
             max_running=self.plan.max_running,
--- a/hornbeamdeck/demo/replay.py
+++ b/hornbeamdeck/demo/replay.py
@@ -8,15 +8,15 @@
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.demo.caller import CallRecord, async_call
+from hornbeamdeck.demo.client import CallResult, async_call
 from hornbeamdeck.demo.trace import TraceEntry
 
-__all__ = ('async_replay',)
+__all__ = ('async_replay_trace',)
 
-OnRecord: TypeAlias = Callable[[CallRecord], None]
+OnRecord: TypeAlias = Callable[[CallResult], None]
 
 
-async def async_replay(
+async def async_replay_trace(
     trace: Sequence[TraceEntry],
     addresses: Sequence[Address],
     on_record: OnRecord,
--- a/hornbeamdeck/demo/report.py
+++ b/hornbeamdeck/demo/report.py
@@ -5,14 +5,14 @@
 from http import HTTPStatus
 from typing import Final, NamedTuple
 
-from hornbeamdeck.demo.caller import CallRecord
+from hornbeamdeck.demo.client import CallResult
 
 __all__ = (
     'TierRow',
-    'failed_outcomes',
+    'unmet_outcomes',
     'format_table',
     'percentile',
-    'tier_rows',
+    'summarize_by_tier',
 )
 
 P50: Final = 0.5
@@ -35,7 +35,7 @@
     p95_first_token_ms: float
 
 
-def tier_rows(records: Sequence[CallRecord]) -> list[TierRow]:
+def summarize_by_tier(records: Sequence[CallResult]) -> list[TierRow]:
     """Count the results by tier, sorted by tier name."""
     tiers = dict.fromkeys(record.entry.tier for record in records)
     return [
@@ -63,8 +63,8 @@
     )
 
 
-def failed_outcomes(
-    records: Sequence[CallRecord],
+def unmet_outcomes(
+    records: Sequence[CallResult],
     runs_by_request: Mapping[str, int],
     runs_by_key: Mapping[str, int],
 ) -> list[str]:
@@ -84,7 +84,7 @@
     ]
 
 
-def _tier_row(tier: str, records: Sequence[CallRecord]) -> TierRow:
+def _tier_row(tier: str, records: Sequence[CallResult]) -> TierRow:
     first_token_times_ms = sorted(
         record.first_token_ms for record in records if record.is_whole
     )
@@ -123,7 +123,7 @@
 
 
 def _false_not_run(
-    records: Iterable[CallRecord],
+    records: Iterable[CallResult],
     runs_by_request: Mapping[str, int],
 ) -> Iterator[str]:
     for record in records:
@@ -131,13 +131,13 @@
             yield f'request {record.request_id} was said not to run, and ran'
 
 
-def _wrong_responses(records: Iterable[CallRecord]) -> Iterator[str]:
+def _wrong_responses(records: Iterable[CallResult]) -> Iterator[str]:
     for record in records:
         if record.outcome == 'ran' and not record.is_whole:
             yield f'request {record.request_id} got a wrong or cut answer'
 
 
-def _late_top_tier_calls(records: Sequence[CallRecord]) -> Iterator[str]:
+def _late_top_tier_calls(records: Sequence[CallResult]) -> Iterator[str]:
     calls = [each for each in records if each.entry.tier == TOP_TIER]
     in_time = sum(each.is_in_time for each in calls)
     if in_time < MIN_IN_TIME_SHARE * len(calls):
--- a/hornbeamdeck/demo/run.py
+++ b/hornbeamdeck/demo/run.py
@@ -5,18 +5,18 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.demo.caller import CallRecord
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.client import CallResult
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.demo.replay import async_replay
+from hornbeamdeck.demo.replay import async_replay_trace
 from hornbeamdeck.demo.report import (
     TierRow,
-    failed_outcomes,
     format_table,
-    tier_rows,
+    summarize_by_tier,
+    unmet_outcomes,
 )
 from hornbeamdeck.demo.trace import load_trace
 
@@ -61,9 +61,9 @@
     failed: list[str] = []
     for name in TRACE_NAMES:
         records = await _async_replay_named(fleet, name, print_line)
-        rows_by_trace[name] = tier_rows(records)
+        rows_by_trace[name] = summarize_by_tier(records)
         print_line(format_table(rows_by_trace[name]))
-        failed += failed_outcomes(
+        failed += unmet_outcomes(
             records,
             fleet.runs_by_request(),
             fleet.booking.runs,
@@ -75,7 +75,7 @@
 async def async_fetch_entries(address: Address, team: str) -> list[Address]:
     """Fetch from an instance the addresses that callers should use."""
     headers = {'authorization': f'Bearer {team_key(team)}'}
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         HttpRequest('GET', '/v1/entries', '', headers, b''),
         timeout_ms=CONNECT_TIMEOUT_MS,
@@ -88,19 +88,19 @@
     fleet: Fleet,
     name: str,
     print_line: PrintLine,
-) -> list[CallRecord]:
+) -> list[CallResult]:
     trace = load_trace(name)
     addresses = await async_fetch_entries(
         fleet.instances[0].own.address,
         trace[0].team,
     )
-    records: list[CallRecord] = []
+    records: list[CallResult] = []
 
-    def _record_call(record: CallRecord) -> None:
+    def _record_call(record: CallResult) -> None:
         records.append(record)
         if not len(records) % PROGRESS_INTERVAL_CALLS:
             print_line(f'{name}: {len(records)} of {len(trace)} calls answered')
 
     print_line(f'{name}: {len(trace)} calls')
-    await async_replay(trace, addresses, _record_call)
+    await async_replay_trace(trace, addresses, _record_call)
     return records
--- a/hornbeamdeck/explain/outcomes.py
+++ b/hornbeamdeck/explain/outcomes.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, Final, NamedTuple
 
-from hornbeamdeck.explain.lines import (
+from hornbeamdeck.explain.log_lines import (
     INSTANCE_ID,
     LogLine,
     LogLines,
--- a/hornbeamdeck/explain/report.py
+++ b/hornbeamdeck/explain/report.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, Final, NamedTuple
 
-from hornbeamdeck.explain.lines import LogLine, LogLines
+from hornbeamdeck.explain.log_lines import LogLine, LogLines
 from hornbeamdeck.explain.outcomes import Explained, Outcome
 
-__all__ = ('Report', 'describe_way', 'make_report')
+__all__ = ('Report', 'describe_request', 'make_report')
 
 # Fields of `Explained` by which the requests of one cause are counted.
 _DIMENSIONS: Final = (
@@ -85,7 +85,7 @@
     )
 
 
-def describe_way(lines: list[LogLine]) -> Iterator[str]:
+def describe_request(lines: list[LogLine]) -> Iterator[str]:
     """Return one text line per log line of a request, ordered by time."""
     ordered = sorted(lines, key=lambda line: str(line.get('timestamp')))
     for line in ordered:
--- a/hornbeamdeck/platform/__main__.py
+++ b/hornbeamdeck/platform/__main__.py
@@ -9,34 +9,34 @@
 
 from hornbeamdeck.platform.dialect import DIALECT
 from hornbeamdeck.platform.documents import parse_configuration
-from hornbeamdeck.platform.pages import entries_page
+from hornbeamdeck.platform.entries_endpoint import handle_entries_request
 from hornbeamdeck.platform.store import open_store
-from hornbeamdeck.process.front_parts import FrontWires
-from hornbeamdeck.process.serve_front import (
-    async_serve_front,
-    load_front_settings,
+from hornbeamdeck.process.gateway_components import PlatformAdapter
+from hornbeamdeck.process.serve_gateway import (
+    async_serve_gateway,
+    load_gateway_settings,
 )
 
 SETTINGS_VARIABLE: Final = 'HORNBEAMDECK_NODE_FILE'
 EXIT_USAGE: Final = 2
 
-WIRES: Final = FrontWires(
+PLATFORM_ADAPTER: Final = PlatformAdapter(
     open_store=open_store,
     dialect=DIALECT,
     parse=parse_configuration,
-    entries_page=entries_page,
+    handle_entries_request=handle_entries_request,
 )
 
 
 def main() -> None:
     """Run a gateway with the settings file that the platform has written."""
     path = os.environ.get(SETTINGS_VARIABLE, '')
-    loaded = load_front_settings(path)
+    loaded = load_gateway_settings(path)
     if isinstance(loaded, Err):
         for error in loaded.err_value:
             print(error, file=sys.stderr)
         sys.exit(EXIT_USAGE)
-    curio.run(async_serve_front, path, loaded.ok_value, WIRES)
+    curio.run(async_serve_gateway, path, loaded.ok_value, PLATFORM_ADAPTER)
 
 
 if __name__ == '__main__':
--- a/hornbeamdeck/platform/dialect.py
+++ b/hornbeamdeck/platform/dialect.py
@@ -8,7 +8,7 @@
 
 from hornbeamdeck.connection.http import Headers, HttpRequest, HttpResponse
 from hornbeamdeck.const import ENCODING, MILLIS_PER_SECOND
-from hornbeamdeck.platform.names import (
+from hornbeamdeck.platform.wire_names import (
     GATEWAY_ONLY_HEADERS,
     HEADER_CLIENT_TIMEOUT_MS,
     HEADER_EXPECTED_ENGINE,
@@ -21,15 +21,15 @@
     HEADER_TEAM,
     HEADER_TOKEN_COUNTS,
 )
+from hornbeamdeck.request.gateway_request import (
+    Dialect,
+    EngineAttempt,
+    GatewayRequest,
+    ResponseVerdict,
+)
 from hornbeamdeck.request.outcome import Failure, NotRun
 from hornbeamdeck.request.refusal import bad_request
 from hornbeamdeck.request.relay import without_hop_by_hop
-from hornbeamdeck.request.routed_ask import (
-    Dialect,
-    Dispatch,
-    RoutedAsk,
-    Verdict,
-)
 
 __all__ = ('DIALECT',)
 
@@ -52,7 +52,7 @@
 )
 
 
-def read_request(request: HttpRequest) -> Result[RoutedAsk, NotRun]:
+def read_request(request: HttpRequest) -> Result[GatewayRequest, NotRun]:
     """Decode a request of a caller."""
     headers = request.headers
     if 'content-length' in headers and 'transfer-encoding' in headers:
@@ -65,7 +65,7 @@
         return Err(bad_request('one request id is needed', 'no_request_id'))
     prompt, _, output = headers.get(HEADER_TOKEN_COUNTS, '').partition(',')
     return Ok(
-        RoutedAsk(
+        GatewayRequest(
             request_id=request_id,
             host=headers.get('host', '').partition(':')[0].lower(),
             request=request,
@@ -86,7 +86,7 @@
     )
 
 
-def engine_headers(decoded: RoutedAsk, attempt: Dispatch) -> Headers:
+def engine_headers(decoded: GatewayRequest, attempt: EngineAttempt) -> Headers:
     """Make the headers of a request for the engine that will run it."""
     connection_header = decoded.request.headers.get('connection', '')
     connection_only = {
@@ -109,26 +109,28 @@
     return headers
 
 
-def classify_response(decoded: RoutedAsk, response: HttpResponse) -> Verdict:
+def classify_response(
+    decoded: GatewayRequest, response: HttpResponse
+) -> ResponseVerdict:
     """Determine from a response's head whether the engine ran the request."""
     headers = response.headers
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
-        return Verdict.OTHER_ENGINE
+        return ResponseVerdict.OTHER_ENGINE
     if HEADER_NOT_RUN in headers:
-        return Verdict.NOT_RUN
+        return ResponseVerdict.NOT_RUN
     echoed = headers.get(HEADER_REQUEST_ID)
     if echoed is not None and echoed != decoded.request_id:
         # A late response to another request on this connection.
-        return Verdict.NOT_ITS_ANSWER
+        return ResponseVerdict.NOT_ITS_ANSWER
     if (
         'content-encoding' in headers
         or response.status in _INCONCLUSIVE_STATUSES
     ):
-        return Verdict.NOT_ITS_ANSWER
+        return ResponseVerdict.NOT_ITS_ANSWER
     is_success = HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES
     if is_success and HEADER_RESPONSE_SEAL not in headers:
-        return Verdict.NOT_ITS_ANSWER
-    return Verdict.RAN
+        return ResponseVerdict.NOT_ITS_ANSWER
+    return ResponseVerdict.RAN
 
 
 def caller_response(response: HttpResponse) -> HttpResponse:
--- a/hornbeamdeck/platform/documents.py
+++ b/hornbeamdeck/platform/documents.py
@@ -10,19 +10,19 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.platform.names import (
+from hornbeamdeck.platform.wire_names import (
     FIELD_NAME,
     FIELD_SERVICE,
     STATE_DRAINING,
     STATE_READY,
 )
 from hornbeamdeck.process.engine_directory import Engine
-from hornbeamdeck.version.routed import (
-    EdgeLimits,
-    EngineTraits,
+from hornbeamdeck.version.gateway import (
+    CallerLimits,
+    EngineProperties,
+    GatewayConfiguration,
+    GatewayTeam,
     Route,
-    RoutedConfiguration,
-    RoutedTeam,
     RouteKind,
     ServiceShare,
     key_digest,
@@ -128,7 +128,7 @@
 def parse_configuration(
     text: str,
     version: int,
-) -> Result[RoutedConfiguration, tuple[object, ...]]:
+) -> Result[GatewayConfiguration, tuple[object, ...]]:
     """Parse the text of a stored configuration.
 
     :returns: the configuration, or the errors found in the text.
@@ -166,13 +166,13 @@
     )
 
 
-def _to_configuration(text: str, version: int) -> RoutedConfiguration:
+def _to_configuration(text: str, version: int) -> GatewayConfiguration:
     raw = _DOCUMENT(json.loads(text))
     teams = [
         (_to_team(team), team['api_keys'])
         for team in map(_TEAM, raw['tenants'] or ())
     ]
-    return RoutedConfiguration(
+    return GatewayConfiguration(
         version=version,
         document=text,
         routes=_routes_by_host(map(_to_route, raw['routes'])),
@@ -186,7 +186,7 @@
             {key_digest(key): team for team, keys in teams for key in keys},
         ),
         teams=MappingProxyType({team.name: team for team, _ in teams}),
-        limits=EdgeLimits(**_LIMITS(raw['limits'] or {})),
+        limits=CallerLimits(**_LIMITS(raw['limits'] or {})),
     )
 
 
@@ -223,8 +223,8 @@
     )
 
 
-def _to_team(checked: Mapping[str, Any]) -> RoutedTeam:
-    return RoutedTeam(
+def _to_team(checked: Mapping[str, Any]) -> GatewayTeam:
+    return GatewayTeam(
         name=checked[FIELD_NAME],
         priority=checked.get('priority'),
         rate_per_s=checked['rate_per_s'] or 0,
@@ -233,11 +233,11 @@
     )
 
 
-def _to_traits(raw: Any) -> EngineTraits:
+def _to_traits(raw: Any) -> EngineProperties:
     if raw is None:
-        return EngineTraits(slots=0, tokens_per_event=0, memory_tokens=0)
+        return EngineProperties(slots=0, tokens_per_event=0, memory_tokens=0)
     checked = _ENGINE_TRAITS(raw)
-    return EngineTraits(
+    return EngineProperties(
         slots=checked['slots'],
         tokens_per_event=max(checked['stride'], 1),
         memory_tokens=checked['kv_tokens'],
--- a/hornbeamdeck/platform/pages.py
+++ b/hornbeamdeck/platform/entries_endpoint.py
@@ -9,14 +9,14 @@
 from hornbeamdeck.const import ENCODING, MILLIS_PER_SECOND
 from hornbeamdeck.process.membership import InstanceStatus
 
-__all__ = ('entries_page',)
+__all__ = ('handle_entries_request',)
 
 PATH_ENTRIES: Final = '/v1/resolve'
 # Callers read at most this many addresses from one response.
 MAX_ADDRESSES: Final = 64
 
 
-def entries_page(
+def handle_entries_request(
     request: HttpRequest,
     usable: list[InstanceStatus],
     ttl_ms: int,
--- a/hornbeamdeck/platform/store.py
+++ b/hornbeamdeck/platform/store.py
@@ -11,11 +11,11 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.platform import PlatformDown, WatchGap
-from hornbeamdeck.connection.platform_calls import PlatformCalls
+from hornbeamdeck.connection.store_calls import StoreCalls
+from hornbeamdeck.connection.store_client import StoreUnavailable, WatchGap
 from hornbeamdeck.const import ENCODING
 from hornbeamdeck.platform.documents import parse_engine
-from hornbeamdeck.platform.names import (
+from hornbeamdeck.platform.wire_names import (
     KIND_CONFIGURATION,
     KIND_ENGINES,
     KIND_INSTANCES,
@@ -23,11 +23,11 @@
     PATH_OBJECTS,
 )
 from hornbeamdeck.process.membership import InstanceStatus
-from hornbeamdeck.process.store_access import (
+from hornbeamdeck.process.store_interface import (
     ConfigurationRead,
     EngineChange,
     EnginesRead,
-    StoreAccess,
+    StoreInterface,
 )
 
 __all__ = ('open_store',)
@@ -65,11 +65,11 @@
         address: Address,
         count_call: Callable[[str], None],
     ) -> None:
-        self._calls = PlatformCalls(address, count=count_call)
+        self._calls = StoreCalls(address, count=count_call)
 
     async def async_read_configuration(
         self,
-    ) -> Result[ConfigurationRead, PlatformDown]:
+    ) -> Result[ConfigurationRead, StoreUnavailable]:
         """Read the current configuration."""
         path = f'{PATH_OBJECTS}/{KIND_CONFIGURATION}/{NAME_CONFIGURATION}'
         fetched = await self._async_get(path, {}, role='configuration')
@@ -83,7 +83,7 @@
         self,
         since: int,
         wait_ms: int,
-    ) -> Result[ConfigurationRead, PlatformDown | WatchGap]:
+    ) -> Result[ConfigurationRead, StoreUnavailable | WatchGap]:
         """Wait for a newer configuration.
 
         :param since: the revision that the caller has.
@@ -104,7 +104,7 @@
 
     async def async_list_engines(
         self,
-    ) -> Result[EnginesRead, PlatformDown]:
+    ) -> Result[EnginesRead, StoreUnavailable]:
         """Read the entries of all engines."""
         listed = await self._async_list(KIND_ENGINES)
         if isinstance(listed, Err):
@@ -116,7 +116,7 @@
         self,
         since: int,
         wait_ms: int,
-    ) -> Result[EnginesRead, PlatformDown | WatchGap]:
+    ) -> Result[EnginesRead, StoreUnavailable | WatchGap]:
         """Wait for changed or removed entries of engines."""
         watched = await self._async_watch(KIND_ENGINES, since, wait_ms)
         if isinstance(watched, Err):
@@ -131,7 +131,7 @@
 
     async def async_list_instances(
         self,
-    ) -> Result[tuple[InstanceStatus, ...], PlatformDown]:
+    ) -> Result[tuple[InstanceStatus, ...], StoreUnavailable]:
         """Read the published statuses of all instances."""
         listed = await self._async_list(KIND_INSTANCES)
         if isinstance(listed, Err):
@@ -142,7 +142,7 @@
     async def async_publish(
         self,
         status: InstanceStatus,
-    ) -> Result[None, PlatformDown]:
+    ) -> Result[None, StoreUnavailable]:
         """Write the own status and replace that of an earlier incarnation."""
         body = {
             'metadata': {'name': status.instance_id},
@@ -163,7 +163,7 @@
     async def async_withdraw(
         self,
         status: InstanceStatus,
-    ) -> Result[None, PlatformDown]:
+    ) -> Result[None, StoreUnavailable]:
         """Delete the own status."""
         path = f'{PATH_OBJECTS}/{KIND_INSTANCES}/{quote(status.instance_id)}'
         deleted = await self._async_write('DELETE', path, None)
@@ -174,7 +174,7 @@
     async def _async_list(
         self,
         kind: str,
-    ) -> Result[_ObjectList, PlatformDown]:
+    ) -> Result[_ObjectList, StoreUnavailable]:
         """Read all pages of a list.
 
         The pages are not one snapshot. The returned revision is that of the
@@ -204,7 +204,7 @@
         kind: str,
         since: int,
         wait_ms: int,
-    ) -> Result[Any, PlatformDown | WatchGap]:
+    ) -> Result[Any, StoreUnavailable | WatchGap]:
         fetched = await self._async_get(
             f'{PATH_OBJECTS}/{kind}',
             {'watch': str(since), 'wait_ms': str(wait_ms)},
@@ -224,7 +224,7 @@
         *,
         role: str,
         timeout_ms: int = CALL_TIMEOUT_MS,
-    ) -> Result[HttpResponse, PlatformDown]:
+    ) -> Result[HttpResponse, StoreUnavailable]:
         request = HttpRequest('GET', path, urlencode(query), {}, b'')
         return await self._calls.async_call(
             request,
@@ -237,7 +237,7 @@
         method: str,
         path: str,
         body: Any,
-    ) -> Result[HttpResponse, PlatformDown]:
+    ) -> Result[HttpResponse, StoreUnavailable]:
         encoded = b'' if body is None else json.dumps(body).encode(ENCODING)
         headers = {'content-type': 'application/json'}
         return await self._calls.async_call(
@@ -250,13 +250,13 @@
 def open_store(
     address: Address,
     count_call: Callable[[str], None],
-) -> StoreAccess:
+) -> StoreInterface:
     """Create the calls to a store. No connection is opened yet.
 
     :param count_call: called with the role of each call.
     """
     store = _Store(address, count_call)
-    return StoreAccess(
+    return StoreInterface(
         read_configuration=store.async_read_configuration,
         watch_configuration=store.async_watch_configuration,
         list_engines=store.async_list_engines,
@@ -267,18 +267,18 @@
     )
 
 
-def _parse_body(response: HttpResponse) -> Result[Any, PlatformDown]:
+def _parse_body(response: HttpResponse) -> Result[Any, StoreUnavailable]:
     if response.status != HTTPStatus.OK:
-        return Err(PlatformDown(f'status {response.status}'))
+        return Err(StoreUnavailable(f'status {response.status}'))
     try:
         return Ok(json.loads(response.body))
     except ValueError as error:
-        return Err(PlatformDown(f'malformed response: {error!r}'))
+        return Err(StoreUnavailable(f'malformed response: {error!r}'))
 
 
-def _check_written(response: HttpResponse) -> Result[None, PlatformDown]:
+def _check_written(response: HttpResponse) -> Result[None, StoreUnavailable]:
     if response.status >= HTTPStatus.MULTIPLE_CHOICES:
-        return Err(PlatformDown(f'status {response.status}'))
+        return Err(StoreUnavailable(f'status {response.status}'))
     return Ok(None)
 
 
--- a/hornbeamdeck/process/baselines.py
+++ b/hornbeamdeck/process/baseline_policies.py
@@ -14,12 +14,12 @@
 from curio import sleep
 from result import Err, Ok, Result
 
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.policy import Acquire, Policy
+from hornbeamdeck.process.placement_policy import Acquire, Policy
 from hornbeamdeck.request.outcome import NotRun
-from hornbeamdeck.request.refusal import from_refuse
+from hornbeamdeck.request.refusal import refusal_from_owner
 from hornbeamdeck.version.configuration import Configuration
 from hornbeamdeck.version.entities import Upstream
 from hornbeamdeck.wire import Enqueue, RefusalReason, Refuse, RunEnd
@@ -53,7 +53,7 @@
             await sleep(REPORT_PERIOD_MS / MILLIS_PER_SECOND)
 
     async def _async_fetch_report(self, upstream: Upstream) -> None:
-        response = await async_fetch_once(
+        response = await async_fetch_on_new_connection(
             upstream.address,
             HttpRequest('GET', '/load', '', {}, b''),
             timeout_ms=REPORT_TIMEOUT_MS,
@@ -84,7 +84,7 @@
                 reason=RefusalReason.NO_UPSTREAM,
                 retry_after_ms=RETRY_MS,
             )
-            return Err(from_refuse(refusal))
+            return Err(refusal_from_owner(refusal))
         return Ok(chosen.name)
 
     acquire: Acquire = _async_acquire
--- a/hornbeamdeck/process/shared_read.py
+++ b/hornbeamdeck/process/coalesced_read.py
@@ -7,9 +7,9 @@
 from curio import Event, spawn
 from curio.errors import TaskTimeout
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 
-__all__ = ('SharedRead',)
+__all__ = ('CoalescedRead',)
 
 # Longest time that a request waits for a read. The store either responds
 # within milliseconds or is down.
@@ -19,7 +19,7 @@
 RETRY_MS: Final = 1000
 
 
-class SharedRead:
+class CoalescedRead:
     """Runs at most one read at a time, for any number of waiting requests."""
 
     def __init__(self, read: Callable[[], Awaitable[bool]]) -> None:
@@ -47,7 +47,7 @@
         if left_ms <= 0:
             return
         try:
-            await async_within(left_ms, done.wait())
+            await async_with_timeout(left_ms, done.wait())
         except TaskTimeout:
             return
 
--- a/hornbeamdeck/process/engine_cells.py
+++ b/hornbeamdeck/process/engine_cells.py
@@ -5,13 +5,13 @@
 import structlog
 
 from hornbeamdeck.process.engine_directory import EngineDirectory
-from hornbeamdeck.process.front_settings import Bounds
+from hornbeamdeck.process.gateway_settings import Bounds
 from hornbeamdeck.process.scheduler import Scheduler
-from hornbeamdeck.scheduling.cell_door import Shared
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import TokenQuotas
-from hornbeamdeck.version.routed import RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration
 
 __all__ = ('EngineCells',)
 
@@ -33,12 +33,12 @@
         self._scheduler = scheduler
         self._directory = directory
         self._bounds = bounds
-        self._shared = Shared(quotas=quotas, teams={})
+        self._shared = SharedState(quotas=quotas, teams={})
         self._cells: dict[str, EngineCell] = {}
         self._reported_slowness: dict[str, float] = {}
-        self._configuration = RoutedConfiguration.empty()
+        self._configuration = GatewayConfiguration.empty()
 
-    def adopt(self, configuration: RoutedConfiguration) -> None:
+    def adopt(self, configuration: GatewayConfiguration) -> None:
         """Apply a new configuration."""
         self._configuration = configuration
         self._shared.teams.clear()
--- a/hornbeamdeck/process/engine_directory.py
+++ b/hornbeamdeck/process/engine_directory.py
@@ -7,7 +7,7 @@
 from hornbeamdeck.process.freshness import Freshness
 from hornbeamdeck.wire import EngineEntry, EngineList
 
-__all__ = ('Engine', 'EngineDirectory', 'from_wire')
+__all__ = ('Engine', 'EngineDirectory', 'engine_from_wire')
 
 UNIT_SLOWNESS: Final = 1.0
 # Number of versions available for lists read at one revision of the store.
@@ -138,7 +138,7 @@
             self._removed.pop(next(iter(self._removed)))
 
 
-def from_wire(entry: EngineEntry) -> Engine:
+def engine_from_wire(entry: EngineEntry) -> Engine:
     """Build an engine from an entry that a peer sent.
 
     :raises ValueError: if the entry's address is invalid.
--- a/hornbeamdeck/process/follower.py
+++ b/hornbeamdeck/process/follower.py
@@ -7,11 +7,11 @@
 from curio import Event, sleep
 from result import Err, Ok, Result
 
-from hornbeamdeck.connection.platform import (
+from hornbeamdeck.connection.store_client import (
     PlatformClient,
-    PlatformDown,
     StoredObject,
-    WatchAnswer,
+    StoreUnavailable,
+    WatchResponse,
 )
 from hornbeamdeck.const import KEY_CONFIGURATION
 from hornbeamdeck.process.backoff import backoff_s
@@ -19,18 +19,18 @@
 
 __all__ = (
     'ConfigurationFollower',
-    'DocumentKind',
-    'HeldDocument',
+    'DocumentSource',
+    'VersionedDocument',
     'async_follow',
-    'follow_platform',
+    'make_configuration_follower',
 )
 
 _LOGGER = structlog.get_logger(prefix='follower')
 
-WATCH_MS: Final = 30_000
+WATCH_TIMEOUT_MS: Final = 30_000
 WATCH_INTERVAL_S: Final = 0.05
 HINT_INTERVAL_S: Final = 0.1
-ROLE: Final = 'configuration'
+CONFIGURATION_ROLE: Final = 'configuration'
 
 OnChange: TypeAlias = Callable[[StoredObject], Awaitable[None]]
 FetchFromPeer: TypeAlias = Callable[[str], Awaitable[None]]
@@ -73,7 +73,7 @@
             prefix,
             since=revision,
             role=role,
-            wait_ms=WATCH_MS,
+            wait_ms=WATCH_TIMEOUT_MS,
         )
         if isinstance(response, Err):
             return
@@ -85,15 +85,15 @@
         await sleep(WATCH_INTERVAL_S)
 
 
-async def _async_report(response: WatchAnswer, on_change: OnChange) -> None:
+async def _async_report(response: WatchResponse, on_change: OnChange) -> None:
     for change in response.changes:
         await on_change(change)
 
 
-_Fetched: TypeAlias = Result[StoredObject | None, PlatformDown]
+_Fetched: TypeAlias = Result[StoredObject | None, StoreUnavailable]
 
 
-class HeldDocument(Protocol):
+class VersionedDocument(Protocol):
     """Interface that every kind of configuration implements."""
 
     @property
@@ -105,11 +105,11 @@
         """The document's text, which is sent to peers."""
 
 
-_Configuration = TypeVar('_Configuration', bound=HeldDocument)
+_Configuration = TypeVar('_Configuration', bound=VersionedDocument)
 _Parsed: TypeAlias = Result[_Configuration, tuple[object, ...]]
 
 
-class DocumentKind(NamedTuple, Generic[_Configuration]):
+class DocumentSource(NamedTuple, Generic[_Configuration]):
     """Functions and initial value for the kind of document to follow.
 
     :param empty: the configuration used before the first document is read.
@@ -127,7 +127,7 @@
 class ConfigurationFollower(Generic[_Configuration]):
     """Holds the configuration in force; its version never decreases."""
 
-    def __init__(self, kind: DocumentKind[_Configuration]) -> None:
+    def __init__(self, kind: DocumentSource[_Configuration]) -> None:
         """Start with the empty configuration, version 0."""
         self.configuration = kind.empty
         self._kind = kind
@@ -188,7 +188,7 @@
             await self.async_note(fetched.ok_value)
 
 
-def follow_platform(
+def make_configuration_follower(
     platform: PlatformClient,
     on_adopted: Callable[[Configuration], Awaitable[None]],
 ) -> ConfigurationFollower[Configuration]:
@@ -200,10 +200,12 @@
     ) -> Result[Configuration, tuple[object, ...]]:
         return parse_document(text, version=version)
 
-    async def _async_fetch() -> Result[StoredObject | None, PlatformDown]:
-        return await platform.async_get(KEY_CONFIGURATION, role=ROLE)
+    async def _async_fetch() -> Result[StoredObject | None, StoreUnavailable]:
+        return await platform.async_get(
+            KEY_CONFIGURATION, role=CONFIGURATION_ROLE
+        )
 
-    kind = DocumentKind(
+    kind = DocumentSource(
         empty=Configuration.empty(),
         parse=_parse,
         fetch=_async_fetch,
--- a/hornbeamdeck/process/proofs.py
+++ b/hornbeamdeck/process/freshness_guard.py
@@ -10,12 +10,12 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.clock import now_ms
+from hornbeamdeck.process.coalesced_read import CoalescedRead
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.front_settings import Bounds
-from hornbeamdeck.process.shared_read import SharedRead
+from hornbeamdeck.process.gateway_settings import Bounds
 
-__all__ = ('ProofParts', 'Proofs')
+__all__ = ('FreshnessDependencies', 'FreshnessGuard')
 
 # A confirmation of the configuration expires this long before the bound on
 # revoked keys. The margin covers a second in which watches may report nothing
@@ -27,7 +27,7 @@
 SEND_MARGIN_MS: Final = 600
 
 
-class ProofParts(NamedTuple):
+class FreshnessDependencies(NamedTuple):
     """Records of confirmations and the reads that renew them.
 
     :param version: returns the configuration version held here.
@@ -46,14 +46,14 @@
     read_engines: Callable[[], Awaitable[bool]]
 
 
-class Proofs:
+class FreshnessGuard:
     """Decides what the confirmations held by this process allow."""
 
-    def __init__(self, parts: ProofParts) -> None:
+    def __init__(self, parts: FreshnessDependencies) -> None:
         """Check and renew the confirmations in these parts."""
         self._parts = parts
-        self._configuration_read = SharedRead(parts.read_configuration)
-        self._engines_read = SharedRead(parts.read_engines)
+        self._configuration_read = CoalescedRead(parts.read_configuration)
+        self._engines_read = CoalescedRead(parts.read_engines)
 
     @property
     def newest_version(self) -> int:
--- a/hornbeamdeck/process/front.py
+++ b/hornbeamdeck/process/gateway.py
@@ -12,32 +12,38 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
+from hornbeamdeck.connection.connection_pool import ConnectionPool
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.kept import KeptConnections
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
 from hornbeamdeck.connection.reader import ReadLimits
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.attendance import FLEET_CELL
-from hornbeamdeck.process.beat_pace import BEAT_MS
-from hornbeamdeck.process.front_pages import async_serve_endpoint
-from hornbeamdeck.process.front_parts import FrontParts, FrontWires
-from hornbeamdeck.process.front_settings import FrontSettings
-from hornbeamdeck.process.membership import STATE_LEAVING
+from hornbeamdeck.process.freshness_guard import (
+    FreshnessDependencies,
+    FreshnessGuard,
+)
+from hornbeamdeck.process.gateway_components import (
+    GatewayComponents,
+    PlatformAdapter,
+)
+from hornbeamdeck.process.gateway_endpoints import async_serve_endpoint
+from hornbeamdeck.process.gateway_settings import GatewaySettings
+from hornbeamdeck.process.heartbeat_pace import MIN_HEARTBEAT_INTERVAL_MS
+from hornbeamdeck.process.instance_registration import InstanceRegistration
+from hornbeamdeck.process.liveness import FLEET_CELL
+from hornbeamdeck.process.membership import STATE_DRAINING
 from hornbeamdeck.process.peer_server import make_peer_server
-from hornbeamdeck.process.proofs import ProofParts, Proofs
-from hornbeamdeck.process.store_entry import StoreEntry
-from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_edge import (
-    Edge,
-    make_routed_answer,
+from hornbeamdeck.request.gateway_admission import GatewayAdmission
+from hornbeamdeck.request.gateway_handler import (
+    GatewayContext,
+    make_gateway_handler,
     refuse_unreadable,
 )
-from hornbeamdeck.request.routed_run import async_run_routed
+from hornbeamdeck.request.gateway_run import async_run_gateway_request
 
-__all__ = ('Front',)
+__all__ = ('Gateway',)
 
 _LOGGER = structlog.get_logger(prefix='front')
 
@@ -50,21 +56,23 @@
 # Interval at which the owner logs the load of its engines.
 LOAD_LOG_INTERVAL_MS: Final = 2000
 # Imported when metrics are first read; see `front_metrics`.
-METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.front_metrics_page'
+METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.gateway_metrics_export'
 METRICS_CONTENT_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 # Longest time from the first to the last byte of a request.
 REQUEST_READ_TIMEOUT_MS: Final = 15_000
 
 
-class Front:
+class Gateway:
     """A gateway process; tests run several of them in one process."""
 
-    def __init__(self, settings: FrontSettings, adapter: FrontWires) -> None:
+    def __init__(
+        self, settings: GatewaySettings, adapter: PlatformAdapter
+    ) -> None:
         """Create the components; `async_start` opens the addresses."""
         self.settings = settings
-        self.parts = FrontParts.from_settings(settings, adapter)
-        self.proofs = Proofs(
-            ProofParts(
+        self.parts = GatewayComponents.from_settings(settings, adapter)
+        self.proofs = FreshnessGuard(
+            FreshnessDependencies(
                 freshness=self.parts.freshness,
                 directory=self.parts.directory,
                 version=self.parts.identity.version,
@@ -77,7 +85,9 @@
         self.in_flight = 0
         self._stop_requested_ms = math.inf
         self._adapter = adapter
-        self._store_entry = StoreEntry(self.parts.store, self.parts.membership)
+        self._store_entry = InstanceRegistration(
+            self.parts.store, self.parts.membership
+        )
         self.listeners: list[Listener] = []
         self._tasks: list[Task] = []
 
@@ -138,7 +148,7 @@
         self.is_leaving = True
         self._stop_requested_ms = now_ms()
         parts.membership.own = parts.membership.own._replace(
-            state=STATE_LEAVING,
+            state=STATE_DRAINING,
         )
         _LOGGER.info('planned stop begins', in_flight=self.in_flight)
         await parts.beats.async_beat()
@@ -168,7 +178,7 @@
             await listener.async_unload()
         await self.parts.peers.async_close()
 
-    def reload(self, settings: FrontSettings) -> None:
+    def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings; the open addresses are not changed."""
         changed = [
             name
@@ -180,17 +190,17 @@
         self.settings = settings
         _LOGGER.info('settings reloaded', changed=changed)
 
-    def _make_edge(self) -> Edge:
+    def _make_edge(self) -> GatewayContext:
         parts = self.parts
 
         def _spend(team: str, tokens: int) -> None:
             parts.spending.add(team, tokens, now_ms())
 
-        return Edge(
+        return GatewayContext(
             dialect=self._adapter.dialect,
             configuration=lambda: parts.follower.configuration,
             proofs=self.proofs,
-            connections=KeptConnections(
+            connections=ConnectionPool(
                 lambda: len(parts.membership.ranked(FLEET_CELL)),
             ),
             acquire=parts.grants.async_acquire,
@@ -218,14 +228,14 @@
             self.in_flight -= 1
             self.parts.metrics.in_flight = self.in_flight
 
-    async def _async_listen_to_callers(self, edge: Edge) -> Listener:
+    async def _async_listen_to_callers(self, edge: GatewayContext) -> Listener:
         async def _async_run(
-            admission: RoutedAdmission,
+            admission: GatewayAdmission,
             caller: ServerConnection,
         ) -> None:
-            await async_run_routed(edge, admission, caller)
+            await async_run_gateway_request(edge, admission, caller)
 
-        respond = make_routed_answer(edge, _async_run)
+        respond = make_gateway_handler(edge, _async_run)
 
         def _refuse(bad: BadRequest) -> HttpResponse:
             return refuse_unreadable(edge, bad)
@@ -251,7 +261,7 @@
         return HttpResponse(status, {}, b'')
 
     def _entries_endpoint(self, request: HttpRequest) -> HttpResponse:
-        return self._adapter.entries_page(
+        return self._adapter.handle_entries_request(
             request,
             self.parts.beats.attendance.usable(),
             self.settings.bounds.entries_ttl_ms,
@@ -293,7 +303,7 @@
         was_owner = self.parts.is_owner
         logged_ms = 0.0
         while True:
-            await sleep(BEAT_MS / MILLIS_PER_SECOND)
+            await sleep(MIN_HEARTBEAT_INTERVAL_MS / MILLIS_PER_SECOND)
             is_owner = self.parts.is_owner
             if is_owner and now_ms() - logged_ms > LOAD_LOG_INTERVAL_MS:
                 logged_ms = now_ms()
--- a/hornbeamdeck/process/front_parts.py
+++ b/hornbeamdeck/process/gateway_components.py
@@ -9,18 +9,18 @@
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.peer import PeerIdentity
-from hornbeamdeck.connection.platform import PlatformDown, StoredObject
+from hornbeamdeck.connection.store_client import StoredObject, StoreUnavailable
 from hornbeamdeck.const import KEY_CONFIGURATION
 from hornbeamdeck.hybrid_clock import HybridClock
-from hornbeamdeck.process.attendance import FLEET_CELL
-from hornbeamdeck.process.beats import BeatParts, Beats
 from hornbeamdeck.process.engine_cells import EngineCells
 from hornbeamdeck.process.engine_directory import EngineDirectory
-from hornbeamdeck.process.follower import ConfigurationFollower, DocumentKind
+from hornbeamdeck.process.follower import ConfigurationFollower, DocumentSource
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from hornbeamdeck.process.grants import Grants
+from hornbeamdeck.process.heartbeats import HeartbeatDependencies, Heartbeats
+from hornbeamdeck.process.liveness import FLEET_CELL
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
@@ -28,33 +28,36 @@
 )
 from hornbeamdeck.process.peers import Peers
 from hornbeamdeck.process.scheduler import Scheduler
-from hornbeamdeck.process.snapshot import Snapshots
+from hornbeamdeck.process.snapshots import Snapshots
 from hornbeamdeck.process.spending import SpendingLog, SpendingReports
-from hornbeamdeck.process.store_access import (
+from hornbeamdeck.process.store_interface import (
     ConfigurationRead,
     ReadConfiguration,
-    StoreAccess,
+    StoreInterface,
 )
-from hornbeamdeck.process.store_reader import ReaderParts, StoreReader
-from hornbeamdeck.request.routed_ask import Dialect
+from hornbeamdeck.process.store_reader import (
+    StoreReader,
+    StoreReaderDependencies,
+)
+from hornbeamdeck.request.gateway_request import Dialect
 from hornbeamdeck.scheduling.token_quota import (
     QuotaRules,
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration
 from hornbeamdeck.wire import Beat, EngineList, Message
 
-__all__ = ('FrontParts', 'FrontWires')
+__all__ = ('GatewayComponents', 'PlatformAdapter')
 
 # A lost instance gets a heartbeat every second and is used again when it
 # responds. Until then, no request is sent to it.
 SUSPECT_MS: Final = 30_000
 
-Follower: TypeAlias = ConfigurationFollower[RoutedConfiguration]
+Follower: TypeAlias = ConfigurationFollower[GatewayConfiguration]
 Parse: TypeAlias = Callable[
     [str, int],
-    Result[RoutedConfiguration, tuple[object, ...]],
+    Result[GatewayConfiguration, tuple[object, ...]],
 ]
 EntriesEndpoint: TypeAlias = Callable[
     [HttpRequest, list[InstanceStatus], int],
@@ -62,7 +65,7 @@
 ]
 
 
-class FrontWires(NamedTuple):
+class PlatformAdapter(NamedTuple):
     """The functions that adapt a gateway process to its platform.
 
     :param open_store: takes the store's address and a callback that counts
@@ -73,17 +76,17 @@
         in ms, the response may be cached.
     """
 
-    open_store: Callable[[Address, Callable[[str], None]], StoreAccess]
+    open_store: Callable[[Address, Callable[[str], None]], StoreInterface]
     dialect: Dialect
     parse: Parse
-    entries_page: EntriesEndpoint
+    handle_entries_request: EntriesEndpoint
 
 
-class FrontParts(NamedTuple):
+class GatewayComponents(NamedTuple):
     """All components of a gateway process except its sockets."""
 
-    metrics: FrontMetrics
-    store: StoreAccess
+    metrics: GatewayMetrics
+    store: StoreInterface
     membership: Membership
     freshness: Freshness
     directory: EngineDirectory
@@ -92,18 +95,18 @@
     cells: EngineCells
     peers: Peers
     grants: Grants
-    beats: Beats
+    beats: Heartbeats
     reader: StoreReader
-    snapshots: Snapshots[RoutedConfiguration]
+    snapshots: Snapshots[GatewayConfiguration]
     identity: PeerIdentity
     spending: SpendingLog
 
     @classmethod
     def from_settings(
-        cls, settings: FrontSettings, adapter: FrontWires
+        cls, settings: GatewaySettings, adapter: PlatformAdapter
     ) -> Self:
         """Create all components; no address is opened yet."""
-        metrics = FrontMetrics()
+        metrics = GatewayMetrics()
         store = adapter.open_store(
             settings.platform_address,
             metrics.count_store_call,
@@ -150,8 +153,8 @@
         )
         spending = SpendingLog(settings.bounds.quota_window_ms)
         freshness = Freshness()
-        beats = Beats(
-            BeatParts(
+        beats = Heartbeats(
+            HeartbeatDependencies(
                 membership=membership,
                 peers=peers,
                 freshness=freshness,
@@ -171,7 +174,7 @@
         _register_handlers(peers, beats, grants)
         readers.append(
             StoreReader(
-                ReaderParts(
+                StoreReaderDependencies(
                     access=store,
                     freshness=freshness,
                     directory=directory,
@@ -212,7 +215,7 @@
     return membership.owner_of(FLEET_CELL) == membership.own.instance_id
 
 
-def _own_status(settings: FrontSettings) -> InstanceStatus:
+def _own_status(settings: GatewaySettings) -> InstanceStatus:
     return InstanceStatus(
         instance_id=settings.instance_id,
         address=settings.address,
@@ -225,7 +228,7 @@
 
 
 def _make_configuration_read(
-    store: StoreAccess,
+    store: StoreInterface,
     readers: list[StoreReader],
 ) -> ReadConfiguration:
     """Return a function that reads the store unless it is known to be down.
@@ -234,9 +237,9 @@
     requested from that peer without waiting for the store's timeout.
     """
 
-    async def _async_read() -> Result[ConfigurationRead, PlatformDown]:
+    async def _async_read() -> Result[ConfigurationRead, StoreUnavailable]:
         if not readers[0].is_store_reached:
-            return Err(PlatformDown('the last call to the store failed'))
+            return Err(StoreUnavailable('the last call to the store failed'))
         return await store.read_configuration()
 
     return _async_read
@@ -245,10 +248,10 @@
 def _make_follower(
     read_configuration: ReadConfiguration,
     parse: Parse,
-    metrics: FrontMetrics,
+    metrics: GatewayMetrics,
     cells: EngineCells,
 ) -> Follower:
-    async def _async_fetch() -> Result[StoredObject | None, PlatformDown]:
+    async def _async_fetch() -> Result[StoredObject | None, StoreUnavailable]:
         response = await read_configuration()
         if not isinstance(response, Ok):
             return response
@@ -263,13 +266,13 @@
             ),
         )
 
-    async def _async_adopted(configuration: RoutedConfiguration) -> None:
+    async def _async_adopted(configuration: GatewayConfiguration) -> None:
         metrics.configuration_version = configuration.version
         cells.adopt(configuration)
 
     return ConfigurationFollower(
-        DocumentKind(
-            empty=RoutedConfiguration.empty(),
+        DocumentSource(
+            empty=GatewayConfiguration.empty(),
             parse=parse,
             fetch=_async_fetch,
             on_adopted=_async_adopted,
@@ -278,8 +281,8 @@
 
 
 def _make_identity(
-    settings: FrontSettings,
-    metrics: FrontMetrics,
+    settings: GatewaySettings,
+    metrics: GatewayMetrics,
     follower: Follower,
 ) -> PeerIdentity:
     return PeerIdentity(
@@ -291,7 +294,7 @@
     )
 
 
-def _register_handlers(peers: Peers, beats: Beats, grants: Grants) -> None:
+def _register_handlers(peers: Peers, beats: Heartbeats, grants: Grants) -> None:
     async def _async_on_message(peer_id: str, message: Message) -> None:
         if isinstance(message, Beat | EngineList):
             grants.watch.heard(peer_id)
--- a/hornbeamdeck/process/front_pages.py
+++ b/hornbeamdeck/process/gateway_endpoints.py
@@ -7,9 +7,9 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.connection.server import ServerConnection
 
 __all__ = ('Endpoint', 'async_serve_endpoint')
--- a/hornbeamdeck/process/front_metrics.py
+++ b/hornbeamdeck/process/gateway_metrics.py
@@ -11,7 +11,7 @@
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('BUCKETS_S', 'FrontMetrics', 'LatencyHistogram')
+__all__ = ('BUCKETS_S', 'GatewayMetrics', 'LatencyHistogram')
 
 # Chosen around the latency objectives of the current routes, 0.1 to 1 s, and
 # around the time limits.
@@ -34,7 +34,7 @@
         self.counts[bisect_left(BUCKETS_S, seconds)] += 1
 
 
-class FrontMetrics:
+class GatewayMetrics:
     """Counters and latencies; `docs/operators/metrics.md` lists them."""
 
     def __init__(self) -> None:
--- a/hornbeamdeck/process/front_metrics_page.py
+++ b/hornbeamdeck/process/gateway_metrics_export.py
@@ -13,9 +13,9 @@
 from prometheus_client.registry import Collector
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.front_metrics import (
+from hornbeamdeck.process.gateway_metrics import (
     BUCKETS_S,
-    FrontMetrics,
+    GatewayMetrics,
     LatencyHistogram,
 )
 
@@ -25,7 +25,7 @@
 class _GatewayCollector(Collector):
     """Collects the counts of a process on each read of the endpoint."""
 
-    def __init__(self, metrics: FrontMetrics) -> None:
+    def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
@@ -35,19 +35,19 @@
         yield from _store_metrics(self._metrics)
 
 
-def make_registry(metrics: FrontMetrics) -> CollectorRegistry:
+def make_registry(metrics: GatewayMetrics) -> CollectorRegistry:
     """Create a registry that collects the counts of a process."""
     registry = CollectorRegistry()
     registry.register(_GatewayCollector(metrics))
     return registry
 
 
-def render(metrics: FrontMetrics) -> bytes:
+def render(metrics: GatewayMetrics) -> bytes:
     """Return all metrics in the Prometheus text format."""
     return generate_latest(make_registry(metrics))
 
 
-def _request_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
+def _request_metrics(metrics: GatewayMetrics) -> Iterator[Metric]:
     requests = CounterMetricFamily(
         'hornbeamdeck_routed_requests',
         'Requests that were admitted, by how they ended.',
@@ -84,7 +84,7 @@
     )
 
 
-def _connection_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
+def _connection_metrics(metrics: GatewayMetrics) -> Iterator[Metric]:
     yield _counter(
         'hornbeamdeck_store_calls',
         'Calls to the store by role.',
@@ -104,7 +104,7 @@
     )
 
 
-def _store_metrics(metrics: FrontMetrics) -> Iterator[Metric]:
+def _store_metrics(metrics: GatewayMetrics) -> Iterator[Metric]:
     yield GaugeMetricFamily(
         'hornbeamdeck_routed_configuration_version',
         'Version of the configuration in force.',
--- a/hornbeamdeck/process/front_settings.py
+++ b/hornbeamdeck/process/gateway_settings.py
@@ -9,15 +9,15 @@
 from hornbeamdeck.process.settings import (
     LOG_LEVELS,
     MIN_SECRET_CHARS,
-    ip_and_port,
+    parse_address,
 )
 
-__all__ = ('Bounds', 'FrontSettings')
+__all__ = ('Bounds', 'GatewaySettings')
 
 DEFAULT_METRICS_PORT: Final = 9464
 MAX_PORT: Final = 65_535
 
-_ADDRESS: Final = vol.All(str, ip_and_port)
+_ADDRESS: Final = vol.All(str, parse_address)
 _MILLISECONDS: Final = vol.All(vol.Coerce(int), vol.Range(min=0))
 _NON_NEGATIVE: Final = vol.All(vol.Coerce(float), vol.Range(min=0))
 
@@ -37,7 +37,7 @@
     },
 )
 
-FRONT_SCHEMA: Final = vol.Schema(
+GATEWAY_SCHEMA: Final = vol.Schema(
     {
         vol.Required('instance_id'): vol.All(str, vol.Length(min=1)),
         vol.Required('availability_zone'): vol.All(str, vol.Length(min=1)),
@@ -111,7 +111,7 @@
         return cls(**unconverted, **converted)
 
 
-class FrontSettings(NamedTuple):
+class GatewaySettings(NamedTuple):
     """Settings of a gateway process.
 
     :param address: where callers send their requests.
@@ -147,6 +147,6 @@
 
         :raises voluptuous.MultipleInvalid: if a field is invalid.
         """
-        checked = FRONT_SCHEMA(raw)
+        checked = GATEWAY_SCHEMA(raw)
         bounds = Bounds.from_config(checked.pop('bounds'))
         return cls(**checked, bounds=bounds)
--- a/hornbeamdeck/process/grants.py
+++ b/hornbeamdeck/process/grants.py
@@ -13,15 +13,15 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within, now_ms
-from hornbeamdeck.process.held_suspects import HeldSuspects
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.process.membership import Membership
 from hornbeamdeck.process.owner_link import OwnerLink
 from hornbeamdeck.process.owner_watch import OwnerWatch
 from hornbeamdeck.process.peers import Peers
+from hornbeamdeck.process.poison_reports import PoisonReports
 from hornbeamdeck.process.scheduler import Scheduler
 from hornbeamdeck.request.outcome import NotRun
-from hornbeamdeck.request.refusal import deadline_passed, from_refuse
+from hornbeamdeck.request.refusal import deadline_passed, refusal_from_owner
 from hornbeamdeck.wire import (
     Enqueue,
     Grant,
@@ -65,7 +65,7 @@
         self._link.listen(self.async_receive)
         self._waiting: dict[str, _Waiting] = {}
         self._running: dict[str, _Running] = {}
-        self._suspects = HeldSuspects(membership, self._link)
+        self._suspects = PoisonReports(membership, self._link)
         self.watch = OwnerWatch(peers, self._awaited_owners)
 
     @property
@@ -94,7 +94,7 @@
         if decision is None:
             return Err(deadline_passed())
         if isinstance(decision, Refuse):
-            return Err(from_refuse(decision))
+            return Err(refusal_from_owner(decision))
         return Ok(decision)
 
     async def async_progress(
@@ -175,7 +175,7 @@
     ) -> Grant | Refuse | None:
         await self._async_enqueue(waiting)
         try:
-            return await async_within(
+            return await async_with_timeout(
                 waiting.request.deadline_ms,
                 waiting.decisions.get(),
             )
--- a/hornbeamdeck/process/beat_clock.py
+++ b/hornbeamdeck/process/heartbeat_clock.py
@@ -10,16 +10,16 @@
 import secrets
 from typing import Final
 
-__all__ = ('NEVER_MS', 'BeatClock', 'told_age_ms')
+__all__ = ('NEVER_CONFIRMED_AGE_MS', 'HeartbeatClock', 'confirmation_age_ms')
 
 # Age in milliseconds that stands for "never confirmed".
-NEVER_MS: Final = 1_000_000_000
+NEVER_CONFIRMED_AGE_MS: Final = 1_000_000_000
 
 _MIN_ORIGIN_MS: Final = 10_000_000_000_000
 _ORIGIN_RANGE_MS: Final = 1_000_000_000_000_000
 
 
-class BeatClock:
+class HeartbeatClock:
     """Generates the heartbeat stamps of one incarnation."""
 
     def __init__(self, now: float) -> None:
@@ -49,11 +49,11 @@
         return requested_ms if requested_ms <= now else None
 
 
-def told_age_ms(at_ms: float, confirmed_ms: float) -> int:
+def confirmation_age_ms(at_ms: float, confirmed_ms: float) -> int:
     """Return a confirmation's age as sent in a heartbeat, rounded up.
 
     :param at_ms: the time at which the age is taken.
     """
     if math.isinf(confirmed_ms):
-        return NEVER_MS
+        return NEVER_CONFIRMED_AGE_MS
     return math.ceil(at_ms - confirmed_ms)
--- a/hornbeamdeck/process/beat_pace.py
+++ b/hornbeamdeck/process/heartbeat_pace.py
@@ -11,28 +11,28 @@
 from collections.abc import Callable
 from typing import Final
 
-__all__ = ('BEAT_MS', 'BeatPace')
+__all__ = ('MIN_HEARTBEAT_INTERVAL_MS', 'HeartbeatPace')
 
-BEAT_MS: Final = 250
-BEAT_PER_INSTANCE_MS: Final = 4
+MIN_HEARTBEAT_INTERVAL_MS: Final = 250
+HEARTBEAT_INTERVAL_PER_INSTANCE_MS: Final = 4
 # Freshness confirmations age with each heartbeat that passes them on. With a
 # longer interval, instances would read the store themselves between heartbeats.
-MAX_BEAT_MS: Final = 1000
+MAX_HEARTBEAT_INTERVAL_MS: Final = 1000
 # Slightly more than three heartbeats: an instance that is silent for longer has
 # stopped, is cut off or is so slow that waiting for it costs more than using
 # the next owner.
-SILENT_BEATS: Final = 3.2
+SILENCE_TIMEOUT_HEARTBEATS: Final = 3.2
 # An instance counts as live for at least this long after its last heartbeat.
-PRESENT_MS: Final = 1500
+MIN_LIVENESS_TIMEOUT_MS: Final = 1500
 # How often a silent instance that ranks before the owner is probed.
-PROBE_MS: Final = 1000
-PROBE_PER_INSTANCE_MS: Final = 30
+MIN_PROBE_INTERVAL_MS: Final = 1000
+PROBE_INTERVAL_PER_INSTANCE_MS: Final = 30
 # Connections that the whole fleet opens to one instance within a heartbeat
 # interval.
-LINKS_PER_BEAT: Final = 64
+CONNECTIONS_PER_HEARTBEAT: Final = 64
 
 
-class BeatPace:
+class HeartbeatPace:
     """Intervals and limits for the current size of the fleet."""
 
     def __init__(self, fleet_size: Callable[[], int]) -> None:
@@ -46,31 +46,36 @@
     @property
     def beat_ms(self) -> float:
         """Interval between two heartbeats."""
-        scaled_ms = BEAT_PER_INSTANCE_MS * self._fleet_size()
-        return min(max(BEAT_MS, scaled_ms), MAX_BEAT_MS)
+        scaled_ms = HEARTBEAT_INTERVAL_PER_INSTANCE_MS * self._fleet_size()
+        return min(
+            max(MIN_HEARTBEAT_INTERVAL_MS, scaled_ms), MAX_HEARTBEAT_INTERVAL_MS
+        )
 
     @property
     def present_ms(self) -> float:
         """Time after its last heartbeat for which an instance is live."""
-        return max(PRESENT_MS, self.silence_ms)
+        return max(MIN_LIVENESS_TIMEOUT_MS, self.silence_ms)
 
     @property
     def silence_ms(self) -> float:
         """Time without a response after which a peer is considered lost."""
-        return SILENT_BEATS * self.beat_ms
+        return SILENCE_TIMEOUT_HEARTBEATS * self.beat_ms
 
     def may_open_link(self) -> bool:
         """Decide at random whether to open a connection in this interval.
 
         The decision is drawn separately for each connection.
         """
-        return random.random() * self._fleet_size() < LINKS_PER_BEAT
+        return random.random() * self._fleet_size() < CONNECTIONS_PER_HEARTBEAT
 
     def probes(self, lost_peers: list[str], now: float) -> list[str]:
         """Select at random which lost peers to probe now."""
-        probe_ms = max(PROBE_MS, PROBE_PER_INSTANCE_MS * self._fleet_size())
+        probe_ms = max(
+            MIN_PROBE_INTERVAL_MS,
+            PROBE_INTERVAL_PER_INSTANCE_MS * self._fleet_size(),
+        )
         if not lost_peers or now - self._probed_ms <= probe_ms:
             return []
         self._probed_ms = now
-        limit = max(LINKS_PER_BEAT // self._fleet_size(), 1)
+        limit = max(CONNECTIONS_PER_HEARTBEAT // self._fleet_size(), 1)
         return random.sample(lost_peers, min(limit, len(lost_peers)))
--- a/hornbeamdeck/process/beats.py
+++ b/hornbeamdeck/process/heartbeats.py
@@ -17,30 +17,37 @@
 from curio import sleep
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import MILLIS_PER_SECOND, PREFIX_INSTANCE
-from hornbeamdeck.process.attendance import (
-    FLEET_CELL,
-    INFORMED,
-    Attendance,
+from hornbeamdeck.process.engine_directory import (
+    EngineDirectory,
+    engine_from_wire,
 )
-from hornbeamdeck.process.beat_clock import NEVER_MS, BeatClock, told_age_ms
-from hornbeamdeck.process.beat_pace import BeatPace
-from hornbeamdeck.process.engine_directory import EngineDirectory, from_wire
 from hornbeamdeck.process.freshness import Freshness
+from hornbeamdeck.process.heartbeat_clock import (
+    NEVER_CONFIRMED_AGE_MS,
+    HeartbeatClock,
+    confirmation_age_ms,
+)
+from hornbeamdeck.process.heartbeat_pace import HeartbeatPace
+from hornbeamdeck.process.liveness import (
+    FLEET_CELL,
+    HEARTBEAT_RECEIVERS,
+    Liveness,
+)
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.process.peers import Peers
+from hornbeamdeck.process.sent_updates import SentUpdates
 from hornbeamdeck.process.spending import SpendingLog, SpendingReports
-from hornbeamdeck.process.told import Told
-from hornbeamdeck.scheduling.ticket import Deliver
+from hornbeamdeck.scheduling.queued_request import Deliver
 from hornbeamdeck.wire import Beat, EngineList, Message
 
-__all__ = ('BeatParts', 'Beats')
+__all__ = ('HeartbeatDependencies', 'Heartbeats')
 
 _LOGGER = structlog.get_logger(prefix='beats')
 
 
-class BeatParts(NamedTuple):
+class HeartbeatDependencies(NamedTuple):
     """Parts that heartbeats are built from and applied to.
 
     :param version: returns the configuration version held here.
@@ -65,22 +72,26 @@
     is_first_start: bool
 
 
-class Beats:
+class Heartbeats:
     """Sends heartbeats, responds to them and applies what they report."""
 
-    def __init__(self, parts: BeatParts) -> None:
+    def __init__(self, parts: HeartbeatDependencies) -> None:
         """Start counting this process's age."""
         self._parts = parts
         self.is_owner_lost = False
-        self._pace = BeatPace(lambda: len(parts.membership.ranked(FLEET_CELL)))
-        self.attendance = Attendance(
+        self._pace = HeartbeatPace(
+            lambda: len(parts.membership.ranked(FLEET_CELL))
+        )
+        self.attendance = Liveness(
             parts.membership,
             parts.version,
             self._pace,
         )
-        self._clock = BeatClock(self.attendance.started_ms)
+        self._clock = HeartbeatClock(self.attendance.started_ms)
         self._unanswered_ms: dict[str, float] = {}
-        self._sent_updates = Told(parts.membership, self.attendance.present)
+        self._sent_updates = SentUpdates(
+            parts.membership, self.attendance.present
+        )
 
     async def async_run(self) -> None:
         """Send heartbeats periodically, forever."""
@@ -158,10 +169,10 @@
         unsuspected = [
             each for each in ranked if each not in membership.suspects
         ]
-        targets = unsuspected[:INFORMED]
+        targets = unsuspected[:HEARTBEAT_RECEIVERS]
         suspects = [
             each
-            for each in ranked[: INFORMED + 1]
+            for each in ranked[: HEARTBEAT_RECEIVERS + 1]
             if each in membership.suspects
         ]
         # Without probes, only a request would detect that a lost owner is
@@ -198,9 +209,9 @@
             stamp_ms=self._clock.stamp_ms(now),
             echo_ms=last.stamp_ms,
             configuration_version=version,
-            configuration_age_ms=told_age_ms(last.at_ms, confirmed_ms),
+            configuration_age_ms=confirmation_age_ms(last.at_ms, confirmed_ms),
             engines_version=parts.directory.version,
-            engines_age_ms=told_age_ms(
+            engines_age_ms=confirmation_age_ms(
                 last.at_ms,
                 parts.directory.confirmed_ms,
             ),
@@ -245,7 +256,7 @@
     def _spending_record_ms(self, now: float) -> float:
         if self._parts.is_first_start:
             # No spending precedes the first start, so the record is complete.
-            return NEVER_MS
+            return NEVER_CONFIRMED_AGE_MS
         return now - self.attendance.started_ms
 
     def _apply_status(self, text: str) -> None:
@@ -269,7 +280,7 @@
     def _apply_engines(self, message: EngineList) -> None:
         parts = self._parts
         try:
-            engines = [from_wire(entry) for entry in message.engines]
+            engines = [engine_from_wire(entry) for entry in message.engines]
         except ValueError:
             _LOGGER.warning('peer sent an invalid engine entry')
             return
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -8,21 +8,21 @@
 from curio import Task, sleep, socket, spawn
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.listener import (
     Listener,
     ServeConnection,
     async_setup_listener,
 )
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.const import KEY_CONFIGURATION, MILLIS_PER_SECOND
-from hornbeamdeck.process.follower import ROLE, async_follow
-from hornbeamdeck.process.membership import STATE_LEAVING, InstanceStatus
-from hornbeamdeck.process.parts import Parts
+from hornbeamdeck.process.follower import CONFIGURATION_ROLE, async_follow
+from hornbeamdeck.process.instance_components import InstanceComponents
+from hornbeamdeck.process.membership import STATE_DRAINING, InstanceStatus
 from hornbeamdeck.process.peer_server import make_peer_server
 from hornbeamdeck.process.settings import Settings
-from hornbeamdeck.request.answer import Answering
+from hornbeamdeck.request.admitted_request import AnswerContext
 from hornbeamdeck.request.router import (
-    Routing,
+    RouterContext,
     make_answer,
     refuse_unreadable,
 )
@@ -38,7 +38,7 @@
 class Instance:
     """An instance; tests run several of them in one process."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: InstanceComponents) -> None:
         """Create the instance; `async_start` opens the addresses."""
         self.parts = parts
         self.is_leaving = False
@@ -91,7 +91,7 @@
         """
         parts = self.parts
         self.is_leaving = True
-        parts.membership.own = self.own._replace(state=STATE_LEAVING)
+        parts.membership.own = self.own._replace(state=STATE_DRAINING)
         _LOGGER.info('planned stop begins', pending=self._pending())
         # This write does not count as pending work: if the store is down, it
         # would delay the shutdown until its deadline although no caller waits
@@ -121,10 +121,10 @@
         await self.parts.peers.async_close()
         await self.parts.platform.async_close()
 
-    def answering(self) -> Answering:
+    def answering(self) -> AnswerContext:
         """Return what a request needs, with the current configuration."""
         parts = self.parts
-        return Answering(
+        return AnswerContext(
             configuration=parts.follower.configuration,
             policy=parts.policy,
             once=parts.once,
@@ -133,7 +133,7 @@
         )
 
     def _serve_callers(self) -> ServeConnection:
-        routing = Routing(
+        routing = RouterContext(
             answering=self.answering,
             membership=self.parts.membership,
             entries_ttl_ms=self.parts.settings.entries_ttl_ms,
@@ -164,7 +164,7 @@
                 parts.platform,
                 KEY_CONFIGURATION,
                 parts.follower.async_note,
-                role=ROLE,
+                role=CONFIGURATION_ROLE,
             ),
             parts.follower.async_fetch_hinted(
                 parts.snapshots.async_take_from_peer,
@@ -199,6 +199,6 @@
 
     :raises OSError: if an address can't be bound.
     """
-    instance = Instance(Parts.from_settings(settings))
+    instance = Instance(InstanceComponents.from_settings(settings))
     await instance.async_start()
     return instance
--- a/hornbeamdeck/process/parts.py
+++ b/hornbeamdeck/process/instance_components.py
@@ -6,42 +6,42 @@
 from result import Result
 
 from hornbeamdeck.connection.peer import PeerIdentity
-from hornbeamdeck.connection.platform import PlatformClient
+from hornbeamdeck.connection.store_client import PlatformClient
 from hornbeamdeck.hybrid_clock import HybridClock
 from hornbeamdeck.process.background import Background
-from hornbeamdeck.process.baselines import (
+from hornbeamdeck.process.baseline_policies import (
     LoadReports,
     least_reported_load,
     round_robin,
 )
 from hornbeamdeck.process.follower import (
     ConfigurationFollower,
-    follow_platform,
+    make_configuration_follower,
 )
 from hornbeamdeck.process.grants import Grants
-from hornbeamdeck.process.issued_calls import IssuedCalls
+from hornbeamdeck.process.issued_key_calls import IssuedKeyCalls
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
     Membership,
 )
+from hornbeamdeck.process.membership_sync import MembershipSync
 from hornbeamdeck.process.metrics import Metrics
 from hornbeamdeck.process.peers import Peers
-from hornbeamdeck.process.policy import Policy
-from hornbeamdeck.process.presence import Presence
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.process.scheduler import Scheduler
 from hornbeamdeck.process.settings import Settings
-from hornbeamdeck.process.snapshot import Snapshots
+from hornbeamdeck.process.snapshots import Snapshots
 from hornbeamdeck.request.claim import Claims
-from hornbeamdeck.request.once_sources import OnceSources
+from hornbeamdeck.request.idempotency import IdempotencyContext
 from hornbeamdeck.request.outcome import NotRun
 from hornbeamdeck.version.configuration import Configuration
 from hornbeamdeck.wire import Enqueue
 
-__all__ = ('Parts',)
+__all__ = ('InstanceComponents',)
 
 
-class Parts(NamedTuple):
+class InstanceComponents(NamedTuple):
     """All components of an instance except its sockets."""
 
     settings: Settings
@@ -53,9 +53,9 @@
     peers: Peers
     grants: Grants
     background: Background
-    once: OnceSources
+    once: IdempotencyContext
     reports: LoadReports
-    presence: Presence
+    presence: MembershipSync
     identity: PeerIdentity
     snapshots: Snapshots[Configuration]
     policy: Policy
@@ -87,14 +87,14 @@
             peers=peers,
             grants=grants,
             background=background,
-            once=OnceSources(
+            once=IdempotencyContext(
                 Claims(platform, background),
-                IssuedCalls(),
+                IssuedKeyCalls(),
                 membership,
                 settings.fleet_secret,
             ),
             reports=reports,
-            presence=Presence(platform, membership, scheduler, grants),
+            presence=MembershipSync(platform, membership, scheduler, grants),
             identity=identity,
             snapshots=Snapshots(follower, membership, identity),
             policy=_with_wait_metric(
@@ -124,7 +124,7 @@
         metrics.configuration_version.set(configuration.version)
         scheduler.adopt(configuration)
 
-    return follow_platform(platform, _async_adopted)
+    return make_configuration_follower(platform, _async_adopted)
 
 
 def _make_identity(
--- a/hornbeamdeck/process/store_entry.py
+++ b/hornbeamdeck/process/instance_registration.py
@@ -6,13 +6,13 @@
 from curio import sleep
 from result import Err
 
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import MILLIS_PER_SECOND, PREFIX_INSTANCE
 from hornbeamdeck.process.backoff import backoff_s
 from hornbeamdeck.process.membership import Membership
-from hornbeamdeck.process.store_access import StoreAccess
+from hornbeamdeck.process.store_interface import StoreInterface
 
-__all__ = ('StoreEntry',)
+__all__ = ('InstanceRegistration',)
 
 _LOGGER = structlog.get_logger(prefix='entry')
 
@@ -21,10 +21,10 @@
 SECOND_LISTING_DELAY_MS: Final = 2000
 
 
-class StoreEntry:
+class InstanceRegistration:
     """Writes this instance's entry and reads those of other instances."""
 
-    def __init__(self, store: StoreAccess, membership: Membership) -> None:
+    def __init__(self, store: StoreInterface, membership: Membership) -> None:
         """Create the entry; nothing is written yet.
 
         :param membership: provides this instance's status and is updated with
--- a/hornbeamdeck/process/issued_calls.py
+++ b/hornbeamdeck/process/issued_key_calls.py
@@ -13,12 +13,12 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.connection.http import HttpResponse
+from hornbeamdeck.request.execution_right import Once, Recorded, in_progress
 from hornbeamdeck.request.issued_key import IssuedKey
-from hornbeamdeck.request.once import Once, Recorded, in_progress
 from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
 from hornbeamdeck.request.refusal import unprocessable
 
-__all__ = ('IssuedCalls',)
+__all__ = ('IssuedKeyCalls',)
 
 MAX_CALLS: Final = 20_000
 MAX_STORED_BODY_BYTES: Final = 32_768
@@ -31,7 +31,7 @@
     response: HttpResponse | None
 
 
-class IssuedCalls:
+class IssuedKeyCalls:
     """Call records by nonce, in the order in which the calls began."""
 
     def __init__(self) -> None:
--- a/hornbeamdeck/process/lease.py
+++ b/hornbeamdeck/process/lease.py
@@ -19,10 +19,10 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.platform import (
+from hornbeamdeck.connection.store_client import (
     PlatformClient,
-    PlatformDown,
     StoredObject,
+    StoreUnavailable,
 )
 
 __all__ = ('Lease', 'LeaseTerms')
@@ -93,7 +93,7 @@
         """The object's version at acquisition; it increases with each term."""
         return self._token
 
-    async def async_try(self) -> Result[bool, PlatformDown]:
+    async def async_try(self) -> Result[bool, StoreUnavailable]:
         """Renew the lease if held, else acquire it if it is free or expired.
 
         :returns: whether the lease is held now. After an error it may still
@@ -154,7 +154,7 @@
         *,
         expected: int | None,
         is_new_term: bool,
-    ) -> Result[bool, PlatformDown]:
+    ) -> Result[bool, StoreUnavailable]:
         sent_ms = self._clock_ms()
         written = await self._platform.async_put(
             self._key,
@@ -163,7 +163,7 @@
             role=ROLE,
         )
         if isinstance(written, Err):
-            if isinstance(written.err_value, PlatformDown):
+            if isinstance(written.err_value, StoreUnavailable):
                 return Err(written.err_value)
             self._held_until_ms = 0
             return Ok(False)
--- a/hornbeamdeck/process/attendance.py
+++ b/hornbeamdeck/process/liveness.py
@@ -4,19 +4,19 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.process.beat_pace import BeatPace
+from hornbeamdeck.process.heartbeat_pace import HeartbeatPace
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
     Membership,
 )
 
-__all__ = ('FLEET_CELL', 'INFORMED', 'Attendance', 'Heard')
+__all__ = ('FLEET_CELL', 'HEARTBEAT_RECEIVERS', 'Liveness', 'LastHeartbeat')
 
 # All cells of the fleet have one owner today, chosen by hashing this name.
 FLEET_CELL: Final = 'fleet'
 # How many of the first-ranked instances receive the heartbeats of all others.
-INFORMED: Final = 3
+HEARTBEAT_RECEIVERS: Final = 3
 # During this time after its start, this process assumes that all known
 # instances are live.
 STARTUP_GRACE_MS: Final = 2000
@@ -24,7 +24,7 @@
 SHARE_CACHE_MS: Final = 50
 
 
-class Heard(NamedTuple):
+class LastHeartbeat(NamedTuple):
     """The last heartbeat of a peer.
 
     :param stamp_ms: the peer's clock when it sent the heartbeat.
@@ -37,14 +37,14 @@
     is_usable: bool
 
 
-class Attendance:
+class Liveness:
     """Instances whose heartbeats reach this process or the owner."""
 
     def __init__(
         self,
         membership: Membership,
         version: Callable[[], int],
-        pace: BeatPace,
+        pace: HeartbeatPace,
     ) -> None:
         """Start counting this process's age.
 
@@ -55,7 +55,7 @@
         self._membership = membership
         self._version = version
         self._pace = pace
-        self._last_heartbeats: dict[str, Heard] = {}
+        self._last_heartbeats: dict[str, LastHeartbeat] = {}
         self._reported_live: dict[str, frozenset[str]] = {}
         self._share = 1.0
         self._share_until_ms = 0.0
@@ -65,12 +65,14 @@
 
         :param is_usable: whether the peer can serve requests.
         """
-        self._last_heartbeats[peer_id] = Heard(stamp_ms, now_ms(), is_usable)
+        self._last_heartbeats[peer_id] = LastHeartbeat(
+            stamp_ms, now_ms(), is_usable
+        )
 
-    def heard(self, peer_id: str) -> Heard:
+    def heard(self, peer_id: str) -> LastHeartbeat:
         """Return the last heartbeat of a peer; stamp 0 if there is none."""
         return self._last_heartbeats.get(
-            peer_id, Heard(0, now_ms(), is_usable=False)
+            peer_id, LastHeartbeat(0, now_ms(), is_usable=False)
         )
 
     def forget(self, peer_id: str) -> None:
@@ -157,4 +159,4 @@
         return recent_ids
 
     def _is_heartbeat_receiver(self) -> bool:
-        return self.rank() < INFORMED
+        return self.rank() < HEARTBEAT_RECEIVERS
--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -14,13 +14,16 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.platform import ListedInstance, StoredObject
+from hornbeamdeck.connection.store_client import ListedInstance, StoredObject
 from hornbeamdeck.process.rendezvous import owner_of, ranking
-from hornbeamdeck.process.suspects import SUSPECT_MS, Suspects
+from hornbeamdeck.process.suspected_instances import (
+    FIRST_SUSPICION_MS,
+    SuspectedInstances,
+)
 
 __all__ = ('InstanceStatus', 'Membership')
 
-STATE_LEAVING: Final = 'leaving'
+STATE_DRAINING: Final = 'leaving'
 STATE_LIVE: Final = 'live'
 UNLISTED_GRACE_MS: Final = 10_000
 # After any status change, all status objects are serialized again for each
@@ -91,7 +94,7 @@
         self,
         own: InstanceStatus,
         *,
-        suspect_ms: int = SUSPECT_MS,
+        suspect_ms: int = FIRST_SUSPICION_MS,
         common_cell: str | None = None,
     ) -> None:
         """Start with this process as the only member.
@@ -103,7 +106,7 @@
         """
         self._common_cell = common_cell
         self._own = own
-        self.suspects = Suspects(suspect_ms)
+        self.suspects = SuspectedInstances(suspect_ms)
         self.is_published = False
         # Counts the calls of `note_status`. Code that forwards statuses to
         # peers compares it to detect changes.
@@ -254,7 +257,7 @@
         return [
             address
             for address, state in self._listed_states.items()
-            if state == STATE_LEAVING
+            if state == STATE_DRAINING
         ]
 
     def _is_live(self, status: InstanceStatus, now: float) -> bool:
--- a/hornbeamdeck/process/presence.py
+++ b/hornbeamdeck/process/membership_sync.py
@@ -5,7 +5,7 @@
 from curio import sleep
 from result import Err
 
-from hornbeamdeck.connection.platform import PlatformClient, StoredObject
+from hornbeamdeck.connection.store_client import PlatformClient, StoredObject
 from hornbeamdeck.const import MILLIS_PER_SECOND, PREFIX_INSTANCE
 from hornbeamdeck.process.backoff import backoff_s
 from hornbeamdeck.process.follower import async_follow
@@ -13,13 +13,13 @@
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.process.scheduler import Scheduler
 
-__all__ = ('Presence',)
+__all__ = ('MembershipSync',)
 
-LIST_PERIOD_MS: Final = 2000
+LIST_POLL_INTERVAL_MS: Final = 2000
 ROLE: Final = 'membership'
 
 
-class Presence:
+class MembershipSync:
     """Synchronizes the membership with the store and the instance list."""
 
     def __init__(
@@ -74,7 +74,7 @@
                 self._membership.leaving_addresses(),
             )
             await self._grants.async_review()
-            await sleep(LIST_PERIOD_MS / MILLIS_PER_SECOND)
+            await sleep(LIST_POLL_INTERVAL_MS / MILLIS_PER_SECOND)
 
     async def _async_try_write(self, status: InstanceStatus) -> bool:
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
--- a/hornbeamdeck/process/peer_server.py
+++ b/hornbeamdeck/process/peer_server.py
@@ -14,25 +14,28 @@
     PeerIdentity,
     async_run_peer,
 )
-from hornbeamdeck.process.follower import ConfigurationFollower, HeldDocument
+from hornbeamdeck.process.follower import (
+    ConfigurationFollower,
+    VersionedDocument,
+)
 from hornbeamdeck.process.scheduler import Scheduler
-from hornbeamdeck.process.snapshot import Snapshots
-from hornbeamdeck.scheduling.ticket import Deliver
+from hornbeamdeck.process.snapshots import Snapshots
+from hornbeamdeck.scheduling.queued_request import Deliver
 from hornbeamdeck.wire import (
     AskSnapshot,
     Envelope,
     Heartbeat,
     Message,
     ToOwner,
-    body_of,
+    message_of,
 )
 
 __all__ = ('make_peer_server',)
 
 _LOGGER = structlog.get_logger(prefix='peers')
 
-_Held = TypeVar('_Held', bound=HeldDocument)
-OnOther: TypeAlias = Callable[[str, Message, Deliver], Awaitable[None]]
+_Held = TypeVar('_Held', bound=VersionedDocument)
+OnOtherMessage: TypeAlias = Callable[[str, Message, Deliver], Awaitable[None]]
 
 
 def make_peer_server(
@@ -40,7 +43,7 @@
     scheduler: Scheduler,
     follower: ConfigurationFollower[_Held],
     snapshots: Snapshots[_Held],
-    on_other: OnOther | None = None,
+    on_other: OnOtherMessage | None = None,
 ) -> ServeConnection:
     """Make the function that serves one peer's connection.
 
@@ -60,7 +63,7 @@
         async def _async_received(envelope: Envelope) -> None:
             version = envelope.configuration_version
             await follower.async_hint(connection.peer_id, version)
-            message = body_of(envelope)
+            message = message_of(envelope)
             if isinstance(message, ToOwner):
                 await scheduler.async_receive(
                     message,
--- a/hornbeamdeck/process/peers.py
+++ b/hornbeamdeck/process/peers.py
@@ -13,7 +13,7 @@
     async_run_peer,
 )
 from hornbeamdeck.process.membership import Membership
-from hornbeamdeck.wire import Envelope, Message, body_of
+from hornbeamdeck.wire import Envelope, Message, message_of
 
 __all__ = ('OnLost', 'OnMessage', 'Peers')
 
@@ -109,7 +109,7 @@
         async def _async_received(envelope: Envelope) -> None:
             await self._on_version(peer_id, envelope.configuration_version)
             if self._on_message is not None:
-                await self._on_message(peer_id, body_of(envelope))
+                await self._on_message(peer_id, message_of(envelope))
 
         return (await async_run_peer(connection, _async_received)).cause
 
--- a/hornbeamdeck/process/held_suspects.py
+++ b/hornbeamdeck/process/poison_reports.py
@@ -11,7 +11,7 @@
 from hornbeamdeck.process.owner_link import OwnerLink
 from hornbeamdeck.wire import Suspect
 
-__all__ = ('HeldSuspects',)
+__all__ = ('PoisonReports',)
 
 MAX_SUSPECTS: Final = 1000
 
@@ -21,7 +21,7 @@
     owner: str
 
 
-class HeldSuspects:
+class PoisonReports:
     """Suspected requests by fingerprint, each with the owner that has it."""
 
     def __init__(self, membership: Membership, link: OwnerLink) -> None:
--- a/hornbeamdeck/process/scheduler.py
+++ b/hornbeamdeck/process/scheduler.py
@@ -10,7 +10,7 @@
 from hornbeamdeck.const import MILLIS_PER_SECOND
 from hornbeamdeck.scheduling.cell import Cell, Refused
 from hornbeamdeck.scheduling.engine_cell import EngineCell
-from hornbeamdeck.scheduling.ticket import Deliver
+from hornbeamdeck.scheduling.queued_request import Deliver
 from hornbeamdeck.version.configuration import Configuration
 from hornbeamdeck.wire import (
     Enqueue,
--- a/hornbeamdeck/process/told.py
+++ b/hornbeamdeck/process/sent_updates.py
@@ -5,12 +5,12 @@
 
 from hornbeamdeck.process.membership import Membership
 
-__all__ = ('TELL_AGAIN_MS', 'Told')
+__all__ = ('STATUS_RESEND_MS', 'SentUpdates')
 
 # How often an unchanged status object is sent again to a peer: with each eighth
 # heartbeat, which costs little. A status that was lost is missing for no longer
 # than callers cache the response to an addresses request.
-TELL_AGAIN_MS: Final = 2000
+STATUS_RESEND_MS: Final = 2000
 
 
 class _SentStatus(NamedTuple):
@@ -33,7 +33,7 @@
 _EMPTY: Final = _StatusSet(-1, frozenset())
 
 
-class Told:
+class SentUpdates:
     """Determines for each peer what has not yet been sent to it."""
 
     def __init__(
@@ -81,7 +81,7 @@
         """
         text = self._membership.own.to_text()
         sent = self._sent_own_status.get(peer_id)
-        if sent and sent.text == text and now - sent.sent_ms < TELL_AGAIN_MS:
+        if sent and sent.text == text and now - sent.sent_ms < STATUS_RESEND_MS:
             return ''
         self._sent_own_status[peer_id] = _SentStatus(text, now)
         return text
--- a/hornbeamdeck/process/serve_front.py
+++ b/hornbeamdeck/process/serve_gateway.py
@@ -9,15 +9,15 @@
 from result import Err, Result
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.front import Front
-from hornbeamdeck.process.front_parts import FrontWires
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.process.gateway import Gateway
+from hornbeamdeck.process.gateway_components import PlatformAdapter
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from hornbeamdeck.process.log_buffer import LogBuffer
 from hornbeamdeck.process.logs import setup_logs
-from hornbeamdeck.process.settings import SettingsError, load_checked
+from hornbeamdeck.process.settings import SettingsError, load_settings_file
 from hornbeamdeck.process.signals import stop_event
 
-__all__ = ('async_serve_front', 'load_front_settings')
+__all__ = ('async_serve_gateway', 'load_gateway_settings')
 
 _LOGGER = structlog.get_logger(prefix='front')
 
@@ -26,17 +26,17 @@
 FILE_CHECK_INTERVAL_MS: Final = 1000
 
 
-def load_front_settings(
+def load_gateway_settings(
     path: str,
-) -> Result[FrontSettings, tuple[SettingsError, ...]]:
+) -> Result[GatewaySettings, tuple[SettingsError, ...]]:
     """Read and validate the settings file of a gateway process."""
-    return load_checked(path, FrontSettings.from_config)
+    return load_settings_file(path, GatewaySettings.from_config)
 
 
-async def async_serve_front(
+async def async_serve_gateway(
     path: str,
-    settings: FrontSettings,
-    adapter: FrontWires,
+    settings: GatewaySettings,
+    adapter: PlatformAdapter,
 ) -> int:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
@@ -45,7 +45,7 @@
     """
     stop_requested = stop_event()
     reload_requested = _reload_event()
-    gateway = Front(settings, adapter)
+    gateway = Gateway(settings, adapter)
     buffer = LogBuffer(gateway.parts.metrics.count_dropped_log_line)
     setup_logs(
         level=settings.log_level,
@@ -73,7 +73,7 @@
 
 async def _async_reload(
     path: str,
-    gateway: Front,
+    gateway: Gateway,
     reload_requested: UniversalEvent,
 ) -> None:
     """Reload the settings on SIGHUP or when the file has changed."""
@@ -85,7 +85,7 @@
             continue
         reload_requested.clear()
         loaded_state = state
-        loaded = load_front_settings(path)
+        loaded = load_gateway_settings(path)
         if isinstance(loaded, Err):
             _LOGGER.error(
                 'changed settings refused, the old ones stay',
--- a/hornbeamdeck/process/settings.py
+++ b/hornbeamdeck/process/settings.py
@@ -15,8 +15,8 @@
     'MIN_SECRET_CHARS',
     'Settings',
     'SettingsError',
-    'ip_and_port',
-    'load_checked',
+    'parse_address',
+    'load_settings_file',
     'load_settings',
 )
 
@@ -30,7 +30,7 @@
 POLICIES: Final = ('grant', 'round_robin', 'least_reported_load')
 
 
-def ip_and_port(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse an address.
 
     :raises voluptuous.Invalid: if the text is not a valid address.
@@ -49,13 +49,13 @@
             str, vol.Length(min=1, max=MAX_ID_CHARS)
         ),
         vol.Required('availability_zone'): vol.All(str, vol.Length(min=1)),
-        vol.Required('address'): vol.All(str, ip_and_port),
-        vol.Required('peer_address'): vol.All(str, ip_and_port),
-        vol.Required('platform_address'): vol.All(str, ip_and_port),
+        vol.Required('address'): vol.All(str, parse_address),
+        vol.Required('peer_address'): vol.All(str, parse_address),
+        vol.Required('platform_address'): vol.All(str, parse_address),
         vol.Required('fleet_secret'): _SECRET,
         vol.Required('operator_token'): _SECRET,
         vol.Optional('seed_peers', default=list): vol.All(
-            [vol.All(str, ip_and_port)],
+            [vol.All(str, parse_address)],
             vol.Coerce(tuple),
         ),
         vol.Optional('policy', default='grant'): vol.In(POLICIES),
@@ -125,10 +125,10 @@
     path: str,
 ) -> Result[Settings, tuple[SettingsError, ...]]:
     """Read and validate the settings file of an instance."""
-    return load_checked(path, Settings.from_config)
+    return load_settings_file(path, Settings.from_config)
 
 
-def load_checked(
+def load_settings_file(
     path: str,
     from_config: Callable[[dict[str, Any]], _Checked],
 ) -> Result[_Checked, tuple[SettingsError, ...]]:
--- a/hornbeamdeck/process/snapshot.py
+++ b/hornbeamdeck/process/snapshots.py
@@ -13,7 +13,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.errors import ConnectionBroken
 from hornbeamdeck.connection.peer import (
@@ -21,10 +21,13 @@
     PeerError,
     PeerIdentity,
 )
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import KEY_CONFIGURATION, PREFIX_INSTANCE
 from hornbeamdeck.process.backoff import backoff_s
-from hornbeamdeck.process.follower import ConfigurationFollower, HeldDocument
+from hornbeamdeck.process.follower import (
+    ConfigurationFollower,
+    VersionedDocument,
+)
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.wire import AskSnapshot, Snapshot
 
@@ -36,9 +39,9 @@
 SEED_TIMEOUT_MS: Final = 3000
 # An instance with an old version can also read the store. A change must be in
 # force within two seconds, of which one or two heartbeat intervals have passed.
-HINT_TIMEOUT_MS: Final = 500
+PEER_TIMEOUT_MS: Final = 500
 
-_Held = TypeVar('_Held', bound=HeldDocument)
+_Held = TypeVar('_Held', bound=VersionedDocument)
 
 
 class Snapshots(Generic[_Held]):
@@ -69,7 +72,7 @@
         """Request a snapshot from one peer and apply what is newer."""
         status = self._membership.status_of(peer_id)
         if status is not None:
-            await self._async_apply_from(status.peer_address, HINT_TIMEOUT_MS)
+            await self._async_apply_from(status.peer_address, PEER_TIMEOUT_MS)
 
     async def async_seed(self, seeds: tuple[Address, ...]) -> None:
         """Request snapshots from the seeds in turn until one is applied.
@@ -120,7 +123,7 @@
         # The timeout includes connecting, since a host that is powered off
         # never responds.
         try:
-            return await async_within(
+            return await async_with_timeout(
                 timeout_ms,
                 self._async_request_without_timeout(address),
             )
--- a/hornbeamdeck/process/engine_book.py
+++ b/hornbeamdeck/process/store_engine_list.py
@@ -11,9 +11,9 @@
 from typing import Final
 
 from hornbeamdeck.process.engine_directory import Engine
-from hornbeamdeck.process.store_access import EngineChange
+from hornbeamdeck.process.store_interface import EngineChange
 
-__all__ = ('EngineBook',)
+__all__ = ('StoreEngineList',)
 
 # After an outage of the store, engines whose entries expired register again
 # within this time.
@@ -25,7 +25,7 @@
 OUTAGE_MS: Final = 2000
 
 
-class EngineBook:
+class StoreEngineList:
     """The store's engine entries, and those retained after an outage."""
 
     def __init__(self) -> None:
--- a/hornbeamdeck/process/store_access.py
+++ b/hornbeamdeck/process/store_interface.py
@@ -5,7 +5,7 @@
 
 from result import Result
 
-from hornbeamdeck.connection.platform import PlatformDown, WatchGap
+from hornbeamdeck.connection.store_client import StoreUnavailable, WatchGap
 from hornbeamdeck.process.engine_directory import Engine
 from hornbeamdeck.process.membership import InstanceStatus
 
@@ -14,7 +14,7 @@
     'EngineChange',
     'EnginesRead',
     'ReadConfiguration',
-    'StoreAccess',
+    'StoreInterface',
 )
 
 
@@ -53,31 +53,31 @@
 
 ReadConfiguration: TypeAlias = Callable[
     [],
-    Awaitable[Result[ConfigurationRead, PlatformDown]],
+    Awaitable[Result[ConfigurationRead, StoreUnavailable]],
 ]
 WatchConfiguration: TypeAlias = Callable[
     [int, int],
-    Awaitable[Result[ConfigurationRead, PlatformDown | WatchGap]],
+    Awaitable[Result[ConfigurationRead, StoreUnavailable | WatchGap]],
 ]
 ListEngines: TypeAlias = Callable[
     [],
-    Awaitable[Result[EnginesRead, PlatformDown]],
+    Awaitable[Result[EnginesRead, StoreUnavailable]],
 ]
 WatchEngines: TypeAlias = Callable[
     [int, int],
-    Awaitable[Result[EnginesRead, PlatformDown | WatchGap]],
+    Awaitable[Result[EnginesRead, StoreUnavailable | WatchGap]],
 ]
 ListInstances: TypeAlias = Callable[
     [],
-    Awaitable[Result[tuple[InstanceStatus, ...], PlatformDown]],
+    Awaitable[Result[tuple[InstanceStatus, ...], StoreUnavailable]],
 ]
 Publish: TypeAlias = Callable[
     [InstanceStatus],
-    Awaitable[Result[None, PlatformDown]],
+    Awaitable[Result[None, StoreUnavailable]],
 ]
 
 
-class StoreAccess(NamedTuple):
+class StoreInterface(NamedTuple):
     """The calls to the store, as functions.
 
     :param watch_configuration: takes a revision and the longest wait, ms.
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -15,25 +15,25 @@
 from result import Err
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.platform import PlatformDown, StoredObject
+from hornbeamdeck.connection.store_client import StoredObject, StoreUnavailable
 from hornbeamdeck.const import KEY_CONFIGURATION, MILLIS_PER_SECOND
-from hornbeamdeck.process.attendance import INFORMED
-from hornbeamdeck.process.engine_book import EngineBook
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.store_access import (
+from hornbeamdeck.process.liveness import HEARTBEAT_RECEIVERS
+from hornbeamdeck.process.store_engine_list import StoreEngineList
+from hornbeamdeck.process.store_interface import (
     ConfigurationRead,
     EnginesRead,
-    StoreAccess,
+    StoreInterface,
 )
 
-__all__ = ('ReaderParts', 'StoreReader')
+__all__ = ('StoreReaderDependencies', 'StoreReader')
 
 _LOGGER = structlog.get_logger(prefix='store')
 
 # How long the store may hold a watch open. A store that does not respond is
 # detected a little later.
-WATCH_MS: Final = 500
+WATCH_TIMEOUT_MS: Final = 500
 # Engines that start at the same time write their entries one after another.
 # Waiting before the next watch collects several changes in one response. There
 # is no wait after a watch that ended without changes; with it, the list would
@@ -60,7 +60,7 @@
 RETRY_MS: Final = 300
 
 
-class ReaderParts(NamedTuple):
+class StoreReaderDependencies(NamedTuple):
     """Dependencies and callbacks of the reader.
 
     :param rank: returns this process's rank; the owner has rank 0.
@@ -71,7 +71,7 @@
     :param on_engines: called when the list of engines has changed.
     """
 
-    access: StoreAccess
+    access: StoreInterface
     freshness: Freshness
     directory: EngineDirectory
     rank: Callable[[], int]
@@ -85,10 +85,10 @@
 class StoreReader:
     """Reads the store for this process and, through heartbeats, for others."""
 
-    def __init__(self, parts: ReaderParts) -> None:
+    def __init__(self, parts: StoreReaderDependencies) -> None:
         """Create the reader; reading starts with the `async_follow` methods."""
         self._parts = parts
-        self._registry = EngineBook()
+        self._registry = StoreEngineList()
         self._engines_revision = 0
         self._has_engines_read_failed = False
         self.is_store_reached = True
@@ -127,7 +127,7 @@
             revision = await self._async_read_engines(revision)
             if not revision:
                 await sleep(self._retry_ms() / MILLIS_PER_SECOND)
-            elif now_ms() - requested_ms < WATCH_MS:
+            elif now_ms() - requested_ms < WATCH_TIMEOUT_MS:
                 await sleep(ENGINES_WATCH_GAP_MS / MILLIS_PER_SECOND)
 
     async def async_read_configuration(self) -> bool:
@@ -155,10 +155,10 @@
         requested_ms = now_ms()
         version = self._parts.version()
         response = await self._parts.access.watch_configuration(
-            version, WATCH_MS
+            version, WATCH_TIMEOUT_MS
         )
         if isinstance(response, Err):
-            if isinstance(response.err_value, PlatformDown):
+            if isinstance(response.err_value, StoreUnavailable):
                 self._record_failure('configuration', response.err_value)
             return False
         read = response.ok_value
@@ -182,11 +182,11 @@
         requested_ms = now_ms()
         access = self._parts.access
         if revision:
-            response = await access.watch_engines(revision, WATCH_MS)
+            response = await access.watch_engines(revision, WATCH_TIMEOUT_MS)
         else:
             response = await access.list_engines()
         if isinstance(response, Err):
-            if isinstance(response.err_value, PlatformDown):
+            if isinstance(response.err_value, StoreUnavailable):
                 self._has_engines_read_failed = True
                 self._record_failure('engines', response.err_value)
             return 0
@@ -253,7 +253,7 @@
     def _check_interval_ms(self) -> int:
         return (
             CHECK_INTERVAL_MS
-            if self._parts.rank() < INFORMED
+            if self._parts.rank() < HEARTBEAT_RECEIVERS
             else SLOW_CHECK_INTERVAL_MS
         )
 
@@ -266,7 +266,7 @@
     def _configuration_age(self) -> float:
         return self._parts.freshness.age_ms(self._parts.version(), now_ms())
 
-    def _record_failure(self, resource: str, error: PlatformDown) -> None:
+    def _record_failure(self, resource: str, error: StoreUnavailable) -> None:
         if self.is_store_reached:
             self.is_store_reached = False
             _LOGGER.warning('store lost', reading=resource, cause=error.cause)
--- a/hornbeamdeck/process/suspects.py
+++ b/hornbeamdeck/process/suspected_instances.py
@@ -5,10 +5,10 @@
 
 from hornbeamdeck.clock import now_ms
 
-__all__ = ('SUSPECT_MS', 'Suspects')
+__all__ = ('FIRST_SUSPICION_MS', 'SuspectedInstances')
 
-SUSPECT_MS: Final = 3000
-MAX_SUSPECT_MS: Final = 60_000
+FIRST_SUSPICION_MS: Final = 3000
+MAX_SUSPICION_MS: Final = 60_000
 
 
 class _Suspicion(NamedTuple):
@@ -16,7 +16,7 @@
     duration_ms: int
 
 
-class Suspects:
+class SuspectedInstances:
     """Suspected instances, each until its suspicion expires.
 
     The suspicion of an instance lasts twice as long each time that it is
@@ -41,7 +41,7 @@
         previous = self._suspicions.get(instance_id)
         duration_ms = self._first_ms
         if previous is not None:
-            duration_ms = min(previous.duration_ms * 2, MAX_SUSPECT_MS)
+            duration_ms = min(previous.duration_ms * 2, MAX_SUSPICION_MS)
         self._suspicions[instance_id] = _Suspicion(
             now_ms() + duration_ms,
             duration_ms,
--- a/hornbeamdeck/request/admission.py
+++ b/hornbeamdeck/request/admission.py
@@ -22,7 +22,13 @@
 from hornbeamdeck.version.configuration import Configuration
 from hornbeamdeck.version.entities import Service, Team, Tier
 
-__all__ = ('Admission', 'admit_model', 'admit_plain', 'identify', 'new_id')
+__all__ = (
+    'Admission',
+    'admit_model',
+    'admit_plain',
+    'authenticate_team',
+    'make_request_id',
+)
 
 BEARER: Final = 'bearer '
 CHARS_PER_TOKEN: Final = 4
@@ -89,12 +95,12 @@
         return self.service.may_repeat(self.request.method, self.path)
 
 
-def new_id() -> str:
+def make_request_id() -> str:
     """Make a request id that is unique across processes."""
     return uuid.uuid4().hex
 
 
-def identify(
+def authenticate_team(
     configuration: Configuration,
     headers: Headers,
 ) -> Result[Team, NotRun]:
@@ -114,7 +120,7 @@
     request_id: str,
 ) -> Result[Admission, NotRun]:
     """Check a completion call, whose `model` field names the service."""
-    team = identify(configuration, request.headers)
+    team = authenticate_team(configuration, request.headers)
     if isinstance(team, Err):
         return team
     parsed = _parse_completion(request.body)
@@ -142,7 +148,7 @@
     request_id: str,
 ) -> Result[Admission, NotRun]:
     """Check a call to `/services/<service>/<path>`."""
-    team = identify(configuration, request.headers)
+    team = authenticate_team(configuration, request.headers)
     if isinstance(team, Err):
         return team
     name, _, path = request.path.removeprefix(PLAIN_PREFIX).partition('/')
--- a/hornbeamdeck/request/answer.py
+++ b/hornbeamdeck/request/admitted_request.py
@@ -6,34 +6,37 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import HEADER_OUTCOME, HEADER_REQUEST_ID
 from hornbeamdeck.process.background import Background
 from hornbeamdeck.process.metrics import Metrics
-from hornbeamdeck.process.policy import Policy
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.request.admission import Admission
-from hornbeamdeck.request.once import Once, Recorded
-from hornbeamdeck.request.once_sources import OnceSources, async_take_once
+from hornbeamdeck.request.execution_right import Once, Recorded
+from hornbeamdeck.request.idempotency import (
+    IdempotencyContext,
+    async_acquire_execution_right,
+)
 from hornbeamdeck.request.outcome import (
     Failure,
     Outcome,
     Unknown,
     to_response,
 )
-from hornbeamdeck.request.placement import Placement, async_place
+from hornbeamdeck.request.placement import Placement, async_acquire_upstream
 from hornbeamdeck.request.relay import async_relay, deadline_passed_during_run
 from hornbeamdeck.version.configuration import Configuration
 
-__all__ = ('Answering', 'async_answer_admitted', 'async_fail')
+__all__ = ('AnswerContext', 'async_answer_admitted_request', 'async_fail')
 
 CLAIMED_RUN_GRACE_MS: Final = 30_000
 
 _LOGGER = structlog.get_logger(prefix='request')
 
 
-class Answering(NamedTuple):
+class AnswerContext(NamedTuple):
     """Dependencies for answering a request.
 
     :param configuration: the version that admitted the request.
@@ -41,13 +44,13 @@
 
     configuration: Configuration
     policy: Policy
-    once: OnceSources
+    once: IdempotencyContext
     metrics: Metrics
     background: Background
 
 
-async def async_answer_admitted(
-    parts: Answering,
+async def async_answer_admitted_request(
+    parts: AnswerContext,
     admission: Admission,
     caller: ServerConnection,
 ) -> None:
@@ -59,7 +62,7 @@
     if admission.may_repeat:
         await _async_run(parts, admission, None, caller)
         return
-    claimed = await async_take_once(parts.once, admission)
+    claimed = await async_acquire_execution_right(parts.once, admission)
     if isinstance(claimed, Err):
         await async_fail(parts.metrics, admission, claimed.err_value, caller)
         return
@@ -78,14 +81,14 @@
 
 
 async def _async_run(
-    parts: Answering,
+    parts: AnswerContext,
     admission: Admission,
     once: Once | None,
     caller: ServerConnection,
 ) -> None:
     placed = None
     try:
-        placed = await async_place(
+        placed = await async_acquire_upstream(
             admission,
             parts.configuration,
             parts.policy,
@@ -122,7 +125,7 @@
 
 
 async def _async_run_claimed(
-    parts: Answering,
+    parts: AnswerContext,
     admission: Admission,
     placement: Placement,
     once: Once,
@@ -149,7 +152,7 @@
 
     work = await parts.background.async_spawn(_async_run_and_record())
     try:
-        relayed: Result[HttpResponse, Unknown] = await async_within(
+        relayed: Result[HttpResponse, Unknown] = await async_with_timeout(
             admission.left_ms,
             work.join(),
         )
@@ -181,7 +184,7 @@
 
 
 async def _async_replay(
-    parts: Answering,
+    parts: AnswerContext,
     admission: Admission,
     recorded: Recorded,
     caller: ServerConnection,
--- a/hornbeamdeck/request/claim.py
+++ b/hornbeamdeck/request/claim.py
@@ -16,10 +16,10 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.http import HttpResponse
-from hornbeamdeck.connection.platform import (
+from hornbeamdeck.connection.store_client import (
     PlatformClient,
-    PlatformDown,
     StoredObject,
+    StoreUnavailable,
 )
 from hornbeamdeck.const import MILLIS_PER_SECOND
 from hornbeamdeck.process.background import Background
@@ -29,7 +29,7 @@
     ClaimCall,
     ClaimRecord,
 )
-from hornbeamdeck.request.once import Once, Recorded, in_progress
+from hornbeamdeck.request.execution_right import Once, Recorded, in_progress
 from hornbeamdeck.request.outcome import Failure
 from hornbeamdeck.request.refusal import platform_down, unprocessable
 
@@ -146,7 +146,7 @@
             )
             if isinstance(written, Ok):
                 return Ok(Claim(call.object_key, record, written.ok_value))
-            if not isinstance(written.err_value, PlatformDown):
+            if not isinstance(written.err_value, StoreUnavailable):
                 found = await self._async_find(call.object_key, record)
                 if found is not None:
                     return found
@@ -184,7 +184,7 @@
             )
             if not isinstance(written, Err):
                 return
-            if not isinstance(written.err_value, PlatformDown):
+            if not isinstance(written.err_value, StoreUnavailable):
                 # An earlier attempt took effect and its response was lost.
                 return
             await sleep(next(delays))
--- a/hornbeamdeck/request/pages.py
+++ b/hornbeamdeck/request/endpoints.py
@@ -12,13 +12,13 @@
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.const import ENCODING
 from hornbeamdeck.process.membership import Membership
-from hornbeamdeck.request.admission import identify
-from hornbeamdeck.request.answer import Answering
-from hornbeamdeck.request.once_sources import issue_for
+from hornbeamdeck.request.admission import authenticate_team
+from hornbeamdeck.request.admitted_request import AnswerContext
+from hornbeamdeck.request.idempotency import issue_key_for_team
 from hornbeamdeck.request.outcome import NotRun, to_response
 from hornbeamdeck.version.entities import Team
 
-__all__ = ('Routing', 'own_page')
+__all__ = ('RouterContext', 'answer_own_endpoint')
 
 MAX_ENTRIES: Final = 3
 MODEL_FIELDS: Final[Mapping[str, object]] = MappingProxyType(
@@ -27,7 +27,7 @@
 METRICS_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 
 
-class Routing(NamedTuple):
+class RouterContext(NamedTuple):
     """Dependencies of the router.
 
     :param answering: returns the dependencies for answering a request, with
@@ -36,7 +36,7 @@
     :param in_flight: counts a request while it is being answered.
     """
 
-    answering: Callable[[], Answering]
+    answering: Callable[[], AnswerContext]
     membership: Membership
     entries_ttl_ms: int
     is_leaving: Callable[[], bool]
@@ -44,13 +44,13 @@
 
 
 TeamEndpoint: TypeAlias = Callable[
-    [Routing, Answering, Team, str], HttpResponse
+    [RouterContext, AnswerContext, Team, str], HttpResponse
 ]
 
 
-def own_page(
-    routing: Routing,
-    parts: Answering,
+def answer_own_endpoint(
+    routing: RouterContext,
+    parts: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> HttpResponse:
@@ -65,13 +65,13 @@
     if endpoint is None:
         refusal = NotRun(HTTPStatus.NOT_FOUND, 'no_such_path', 'no such path')
         return to_response(refusal, request_id)
-    team = identify(parts.configuration, request.headers)
+    team = authenticate_team(parts.configuration, request.headers)
     if isinstance(team, Err):
         return to_response(team.err_value, request_id)
     return endpoint(routing, parts, team.ok_value, request_id)
 
 
-def _health(routing: Routing, parts: Answering) -> HttpResponse:
+def _health(routing: RouterContext, parts: AnswerContext) -> HttpResponse:
     version = parts.configuration.version
     if routing.is_leaving():
         return _json_response(
@@ -85,8 +85,8 @@
 
 
 def _entries(
-    routing: Routing,
-    _parts: Answering,
+    routing: RouterContext,
+    _parts: AnswerContext,
     _team: Team,
     request_id: str,
 ) -> HttpResponse:
@@ -105,8 +105,8 @@
 
 
 def _issue_idempotency_key(
-    routing: Routing,
-    parts: Answering,
+    routing: RouterContext,
+    parts: AnswerContext,
     team: Team,
     request_id: str,
 ) -> HttpResponse:
@@ -119,13 +119,13 @@
             'this instance is leaving; ask another',
         )
         return to_response(refusal, request_id)
-    key = issue_for(parts.once, team.name)
+    key = issue_key_for_team(parts.once, team.name)
     return _json_response(HTTPStatus.CREATED, {'idempotency_key': key})
 
 
 def _models(
-    _routing: Routing,
-    parts: Answering,
+    _routing: RouterContext,
+    parts: AnswerContext,
     team: Team,
     _request_id: str,
 ) -> HttpResponse:
--- a/hornbeamdeck/request/routed_call.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -8,20 +8,20 @@
 from curio.errors import TaskTimeout
 from result import Err, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.errors import ConnectionBroken
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.request.engine_link import EngineLink
-from hornbeamdeck.request.event_feed import Event, EventFeed
-from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_ask import Dispatch, Verdict
-from hornbeamdeck.request.routed_edge import Edge
+from hornbeamdeck.request.engine_connection import EngineConnection
+from hornbeamdeck.request.event_parser import Event, EventParser
+from hornbeamdeck.request.gateway_admission import GatewayAdmission
+from hornbeamdeck.request.gateway_handler import GatewayContext
+from hornbeamdeck.request.gateway_request import EngineAttempt, ResponseVerdict
 from hornbeamdeck.wire import Grant, RunEnd
 
-__all__ = ('EngineCall',)
+__all__ = ('EngineAttempts',)
 
 # If a request may be sent to another engine, a silent engine is abandoned after
 # this many times the objective. A stream that may be resumed is abandoned after
@@ -33,13 +33,13 @@
 _Read = TypeVar('_Read')
 
 
-class EngineCall:
+class EngineAttempts:
     """Sends one request to engines, one after another."""
 
     def __init__(
         self,
-        edge: Edge,
-        admission: RoutedAdmission,
+        edge: GatewayContext,
+        admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
         """Initialize; nothing has been sent yet."""
@@ -54,7 +54,7 @@
         self._admission = admission
         self._caller = caller
         self._last_event_ms = 0.0
-        self._link = EngineLink(
+        self._link = EngineConnection(
             edge.connections,
             may_repeat=admission.route.may_repeat,
         )
@@ -102,7 +102,7 @@
         engine: str,
     ) -> Result[HttpResponse, ConnectionBroken]:
         admission = self._admission
-        dispatch = Dispatch(
+        dispatch = EngineAttempt(
             engine=engine,
             team=admission.team_name,
             left_ms=admission.left_ms,
@@ -123,15 +123,15 @@
         sent_ms: float,
     ) -> RunEnd:
         match self._edge.dialect.judge(self._admission.ask, head):
-            case Verdict.NOT_RUN:
+            case ResponseVerdict.NOT_RUN:
                 self.cause = f'rejected by the engine, status {head.status}'
                 self.is_sent = False
                 return RunEnd.REJECTED
-            case Verdict.OTHER_ENGINE:
+            case ResponseVerdict.OTHER_ENGINE:
                 self.cause = 'the address belongs to another engine'
                 self.is_sent = False
                 return RunEnd.MISDIRECTED
-            case Verdict.NOT_ITS_ANSWER:
+            case ResponseVerdict.NOT_ITS_ANSWER:
                 self.cause = (
                     f'not a valid engine response, status {head.status}'
                 )
@@ -166,7 +166,7 @@
     async def _async_relay_stream(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
-        feed = EventFeed()
+        feed = EventParser()
         connection = self._link.connection
         end: RunEnd | None = None
         while connection is not None and end is None:
@@ -182,7 +182,7 @@
             end = await self._async_relay_events(head, events, sent_ms)
         return end or RunEnd.CANCELLED
 
-    async def _async_end_stream(self, feed: EventFeed) -> RunEnd:
+    async def _async_end_stream(self, feed: EventParser) -> RunEnd:
         if feed.has_partial_event or not self._caller.has_started:
             self.cause = 'the stream ended within an event'
             return RunEnd.FAILED
@@ -261,7 +261,7 @@
         if not limit_ms:
             return await reading
         try:
-            return await async_within(limit_ms, reading)
+            return await async_with_timeout(limit_ms, reading)
         except TaskTimeout:
             return Err(ConnectionBroken(f'silent for {limit_ms} ms'))
 
--- a/hornbeamdeck/request/engine_link.py
+++ b/hornbeamdeck/request/engine_connection.py
@@ -6,12 +6,15 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
+from hornbeamdeck.connection.connection_pool import (
+    ConnectionPool,
+    keep_alive_ms,
+)
 from hornbeamdeck.connection.errors import ConnectFailed
 from hornbeamdeck.connection.http import HttpResponse
-from hornbeamdeck.connection.kept import KeptConnections, kept_for_ms
 from hornbeamdeck.wire import Grant, RunEnd
 
-__all__ = ('EngineLink',)
+__all__ = ('EngineConnection',)
 
 # Engines are milliseconds away. If connecting takes longer, a packet was lost
 # or the machine is down, and another engine is quicker.
@@ -19,15 +22,15 @@
 # How long a machine may take to acknowledge a request. A pooled connection to a
 # machine that lost power shows no other sign of the failure. One lost packet is
 # resent within 200 ms, and a second time after 400 ms more.
-UNACKNOWLEDGED_MS: Final = 600
+ACK_TIMEOUT_MS: Final = 600
 # After these a complete response has been read.
 _COMPLETE: Final = frozenset((RunEnd.ANSWERED, RunEnd.ERRORED))
 
 
-class EngineLink:
+class EngineConnection:
     """A pooled or new connection, returned to the pool where possible."""
 
-    def __init__(self, pool: KeptConnections, *, may_repeat: bool) -> None:
+    def __init__(self, pool: ConnectionPool, *, may_repeat: bool) -> None:
         """Initialize; no connection is opened yet.
 
         :param pool: the pool of idle connections.
@@ -61,7 +64,7 @@
         opened = await ClientConnection.async_open(
             Address.from_text(grant.address),
             timeout_ms=CONNECT_TIMEOUT_MS,
-            unheard_ms=UNACKNOWLEDGED_MS if self._may_repeat else 0,
+            unheard_ms=ACK_TIMEOUT_MS if self._may_repeat else 0,
         )
         if isinstance(opened, Ok):
             self.connection = opened.ok_value
@@ -69,7 +72,7 @@
 
     def record_keep_alive(self, head: HttpResponse) -> None:
         """Record how long the engine will keep the connection open."""
-        self._idle_ms = kept_for_ms(head.headers)
+        self._idle_ms = keep_alive_ms(head.headers)
 
     async def async_close(self, end: RunEnd) -> None:
         """Return the connection to the pool, or close it.
--- a/hornbeamdeck/request/event_feed.py
+++ b/hornbeamdeck/request/event_parser.py
@@ -3,7 +3,7 @@
 import re
 from typing import Final, NamedTuple
 
-__all__ = ('Event', 'EventFeed')
+__all__ = ('Event', 'EventParser')
 
 # A blank line ends an event, in any of the three line endings.
 _EVENT_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
@@ -20,7 +20,7 @@
     encoded: bytes
 
 
-class EventFeed:
+class EventParser:
     """Assembles complete events from pieces of a response body.
 
     An engine that fails may leave a partial event. If that were relayed, the
--- a/hornbeamdeck/request/forward.py
+++ b/hornbeamdeck/request/forward.py
@@ -6,7 +6,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.const import HEADER_DEADLINE
@@ -39,7 +39,7 @@
         return Err(issuer_gone())
     connection = opened.ok_value
     try:
-        fetched = await async_within(
+        fetched = await async_with_timeout(
             admission.left_ms,
             connection.async_fetch(_make_forwarded_request(admission)),
         )
--- a/hornbeamdeck/request/routed_admission.py
+++ b/hornbeamdeck/request/gateway_admission.py
@@ -8,17 +8,21 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.process.proofs import Proofs
+from hornbeamdeck.process.freshness_guard import FreshnessGuard
+from hornbeamdeck.request.gateway_request import GatewayRequest
 from hornbeamdeck.request.outcome import NotRun
 from hornbeamdeck.request.refusal import unauthorized
-from hornbeamdeck.request.routed_ask import RoutedAsk
-from hornbeamdeck.version.routed import Route, RoutedConfiguration, RoutedTeam
+from hornbeamdeck.version.gateway import (
+    GatewayConfiguration,
+    GatewayTeam,
+    Route,
+)
 
 __all__ = (
     'CLIENT_TIMEOUT_GAPS',
-    'RoutedAdmission',
+    'GatewayAdmission',
     'async_admit',
-    'is_still_allowed',
+    'recheck_key',
 )
 
 # Retry delay for callers of an instance that has no configuration yet, or that
@@ -33,17 +37,17 @@
 RESPONSE_TRANSFER_MS: Final = 150
 
 
-class RoutedAdmission(NamedTuple):
+class GatewayAdmission(NamedTuple):
     """A request that may be queued for an engine.
 
     :param arrived_ms: when it had been read, on this process's clock.
     :param deadline_ms: when its final response is due, on the same clock.
     """
 
-    ask: RoutedAsk
+    ask: GatewayRequest
     route: Route
     service: str
-    team: RoutedTeam | None
+    team: GatewayTeam | None
     arrived_ms: float
     deadline_ms: float
 
@@ -101,10 +105,10 @@
 
 
 async def async_admit(
-    configuration: Callable[[], RoutedConfiguration],
-    proofs: Proofs,
-    ask: RoutedAsk,
-) -> Result[RoutedAdmission, NotRun]:
+    configuration: Callable[[], GatewayConfiguration],
+    proofs: FreshnessGuard,
+    ask: GatewayRequest,
+) -> Result[GatewayAdmission, NotRun]:
     """Find the route and the team of a request.
 
     The configuration is read again first if it may be out of date.
@@ -117,11 +121,11 @@
 
 
 def _admit(
-    configuration: RoutedConfiguration,
-    proofs: Proofs,
-    ask: RoutedAsk,
+    configuration: GatewayConfiguration,
+    proofs: FreshnessGuard,
+    ask: GatewayRequest,
     arrived_ms: float,
-) -> Result[RoutedAdmission, NotRun]:
+) -> Result[GatewayAdmission, NotRun]:
     if not configuration.version:
         return Err(_unconfirmed('no_configuration', 'no configuration yet'))
     route = configuration.find_route(ask.host, ask.request.path)
@@ -135,7 +139,7 @@
         if team is None:
             return Err(_deny_if_in_force(proofs, unauthorized()))
     return Ok(
-        RoutedAdmission(
+        GatewayAdmission(
             ask=ask,
             route=route,
             service=route.pick_service(random.random()),
@@ -146,9 +150,9 @@
     )
 
 
-def is_still_allowed(
-    configuration: RoutedConfiguration,
-    admission: RoutedAdmission,
+def recheck_key(
+    configuration: GatewayConfiguration,
+    admission: GatewayAdmission,
     *,
     has_keys: bool,
 ) -> Result[None, NotRun]:
@@ -162,7 +166,7 @@
     return Ok(None)
 
 
-def _deny_if_in_force(proofs: Proofs, denial: NotRun) -> NotRun:
+def _deny_if_in_force(proofs: FreshnessGuard, denial: NotRun) -> NotRun:
     """Return a denial only if the configuration is in force.
 
     A denial is final for its caller, so a stale configuration must not cause
--- a/hornbeamdeck/request/routed_edge.py
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -8,20 +8,25 @@
 import structlog
 from result import Err, Result
 
+from hornbeamdeck.connection.connection_pool import ConnectionPool
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import Answer
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.kept import KeptConnections
+from hornbeamdeck.connection.request_loop import RequestHandler
 from hornbeamdeck.connection.server import ServerConnection
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.proofs import Proofs
+from hornbeamdeck.process.freshness_guard import FreshnessGuard
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.request.gateway_admission import GatewayAdmission, async_admit
+from hornbeamdeck.request.gateway_request import Dialect
 from hornbeamdeck.request.outcome import NotRun
-from hornbeamdeck.request.routed_admission import RoutedAdmission, async_admit
-from hornbeamdeck.request.routed_ask import Dialect
-from hornbeamdeck.version.routed import RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration
 from hornbeamdeck.wire import Enqueue, Grant, RunEnd
 
-__all__ = ('Edge', 'RunRequest', 'make_routed_answer', 'refuse_unreadable')
+__all__ = (
+    'GatewayContext',
+    'RunAdmitted',
+    'make_gateway_handler',
+    'refuse_unreadable',
+)
 
 _LOGGER = structlog.get_logger(prefix='edge')
 
@@ -33,8 +38,8 @@
 # Short, because another instance is available at once.
 DRAINING_RETRY_MS: Final = 20
 
-RunRequest: TypeAlias = Callable[
-    [RoutedAdmission, ServerConnection],
+RunAdmitted: TypeAlias = Callable[
+    [GatewayAdmission, ServerConnection],
     Awaitable[None],
 ]
 
@@ -43,7 +48,7 @@
 Acquire: TypeAlias = Callable[[Enqueue], Awaitable[_Granted]]
 
 
-class Edge(NamedTuple):
+class GatewayContext(NamedTuple):
     """Dependencies for answering routed requests.
 
     :param proofs: freshness of the configuration and of the list of engines.
@@ -60,21 +65,23 @@
     """
 
     dialect: Dialect
-    configuration: Callable[[], RoutedConfiguration]
-    proofs: Proofs
-    connections: KeptConnections
+    configuration: Callable[[], GatewayConfiguration]
+    proofs: FreshnessGuard
+    connections: ConnectionPool
     acquire: Acquire
     progress: Callable[[str, float], Awaitable[None]]
     release: Callable[[str, RunEnd, float, float], Awaitable[None]]
     spend: Callable[[str, int], None]
-    metrics: FrontMetrics
+    metrics: GatewayMetrics
     zone: str
     is_leaving: Callable[[], bool]
     stop_share: Callable[[], float]
     in_flight: Callable[[], AbstractContextManager[None]]
 
 
-def make_routed_answer(edge: Edge, run: RunRequest) -> Answer:
+def make_gateway_handler(
+    edge: GatewayContext, run: RunAdmitted
+) -> RequestHandler:
     """Make the function that answers one request.
 
     :param run: runs a request that was admitted.
@@ -93,8 +100,8 @@
 
 
 async def _async_admit(
-    edge: Edge,
-    run: RunRequest,
+    edge: GatewayContext,
+    run: RunAdmitted,
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
@@ -115,7 +122,9 @@
     await run(admitted.ok_value, caller)
 
 
-def _would_be_cut_off(edge: Edge, admission: RoutedAdmission) -> bool:
+def _would_be_cut_off(
+    edge: GatewayContext, admission: GatewayAdmission
+) -> bool:
     """Whether a graceful shutdown would cut off a request that starts now.
 
     Some callers use an address far longer than its time to live and send
@@ -140,7 +149,7 @@
 
 
 async def _async_refuse(
-    edge: Edge,
+    edge: GatewayContext,
     request_id: str,
     refusal: NotRun,
     caller: ServerConnection,
@@ -158,7 +167,7 @@
     await caller.async_respond(edge.dialect.refusal(refusal, request_id))
 
 
-def refuse_unreadable(edge: Edge, bad: BadRequest) -> HttpResponse:
+def refuse_unreadable(edge: GatewayContext, bad: BadRequest) -> HttpResponse:
     """Make the response to a request that can't be parsed."""
     refusal = NotRun(HTTPStatus(bad.status), 'unreadable', bad.detail)
     edge.metrics.refused(refusal.code)
--- a/hornbeamdeck/request/routed_ask.py
+++ b/hornbeamdeck/request/gateway_request.py
@@ -9,10 +9,10 @@
 from hornbeamdeck.connection.http import Headers, HttpRequest, HttpResponse
 from hornbeamdeck.request.outcome import Failure, NotRun
 
-__all__ = ('Dialect', 'Dispatch', 'RoutedAsk', 'Verdict')
+__all__ = ('Dialect', 'EngineAttempt', 'GatewayRequest', 'ResponseVerdict')
 
 
-class RoutedAsk(NamedTuple):
+class GatewayRequest(NamedTuple):
     """A decoded request.
 
     :param host: without port, in lower case.
@@ -43,7 +43,7 @@
         return self.prompt_tokens + self.output_tokens
 
 
-class Dispatch(NamedTuple):
+class EngineAttempt(NamedTuple):
     """One attempt to run a request on an engine.
 
     :param engine: the only incarnation that may run it.
@@ -59,7 +59,7 @@
     after_event: str
 
 
-class Verdict(enum.Enum):
+class ResponseVerdict(enum.Enum):
     """What the head of an engine's response shows about the request."""
 
     RAN = enum.auto()
@@ -68,10 +68,12 @@
     NOT_ITS_ANSWER = enum.auto()
 
 
-ReadAsk: TypeAlias = Callable[[HttpRequest], Result[RoutedAsk, NotRun]]
-ToEngine: TypeAlias = Callable[[RoutedAsk, Dispatch], Headers]
-Judge: TypeAlias = Callable[[RoutedAsk, HttpResponse], Verdict]
-ToCaller: TypeAlias = Callable[[HttpResponse], HttpResponse]
+ReadRequest: TypeAlias = Callable[[HttpRequest], Result[GatewayRequest, NotRun]]
+MakeEngineHeaders: TypeAlias = Callable[
+    [GatewayRequest, EngineAttempt], Headers
+]
+Judge: TypeAlias = Callable[[GatewayRequest, HttpResponse], ResponseVerdict]
+MakeCallerResponse: TypeAlias = Callable[[HttpResponse], HttpResponse]
 Refusal: TypeAlias = Callable[[Failure, str], HttpResponse]
 
 
@@ -85,8 +87,8 @@
     :param refusal: makes the response to a failed request from its id.
     """
 
-    read: ReadAsk
-    to_engine: ToEngine
+    read: ReadRequest
+    to_engine: MakeEngineHeaders
     judge: Judge
-    to_caller: ToCaller
+    to_caller: MakeCallerResponse
     refusal: Refusal
--- a/hornbeamdeck/request/routed_run.py
+++ b/hornbeamdeck/request/gateway_run.py
@@ -7,20 +7,20 @@
 from curio.errors import TaskTimeout
 from result import Err, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.server import ServerConnection
-from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
-from hornbeamdeck.request.refusal import deadline_passed
-from hornbeamdeck.request.routed_admission import (
+from hornbeamdeck.request.engine_attempts import EngineAttempts
+from hornbeamdeck.request.gateway_admission import (
     CLIENT_TIMEOUT_GAPS,
-    RoutedAdmission,
-    is_still_allowed,
+    GatewayAdmission,
+    recheck_key,
 )
-from hornbeamdeck.request.routed_call import EngineCall
-from hornbeamdeck.request.routed_edge import Edge
+from hornbeamdeck.request.gateway_handler import GatewayContext
+from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
+from hornbeamdeck.request.refusal import deadline_passed
 from hornbeamdeck.wire import Enqueue, Grant, RunEnd
 
-__all__ = ('async_run_routed',)
+__all__ = ('async_run_gateway_request',)
 
 _LOGGER = structlog.get_logger(prefix='request')
 
@@ -49,9 +49,9 @@
     possible_runs: int = 0
 
 
-async def async_run_routed(
-    edge: Edge,
-    admission: RoutedAdmission,
+async def async_run_gateway_request(
+    edge: GatewayContext,
+    admission: GatewayAdmission,
     caller: ServerConnection,
 ) -> None:
     """Answer a request.
@@ -59,10 +59,10 @@
     However it ends, the caller gets exactly one final response, or its
     connection is broken.
     """
-    run = RoutedRun(edge, admission, caller)
+    run = GatewayRun(edge, admission, caller)
     failure: Failure | None = None
     try:
-        failure = await async_within(admission.left_ms, run.async_run())
+        failure = await async_with_timeout(admission.left_ms, run.async_run())
     except TaskTimeout:
         failure = run.timeout_failure()
     except BaseException:
@@ -72,13 +72,13 @@
         await run.async_fail(failure)
 
 
-class RoutedRun:
+class GatewayRun:
     """Runs one request from its admission to the last byte of its response."""
 
     def __init__(
         self,
-        edge: Edge,
-        admission: RoutedAdmission,
+        edge: GatewayContext,
+        admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
         """Initialize; no grant has been requested yet."""
@@ -86,7 +86,7 @@
         self._admission = admission
         self._caller = caller
         self._attempts = _Attempts()
-        self._engine_call = EngineCall(edge, admission, caller)
+        self._engine_call = EngineAttempts(edge, admission, caller)
         self._engine = ''
         self._waited_ms = 0.0
 
@@ -172,7 +172,7 @@
         self._waited_ms += now_ms() - requested_ms
         if isinstance(granted, Err):
             return granted
-        allowed = is_still_allowed(
+        allowed = recheck_key(
             self._edge.configuration(),
             admission,
             has_keys=self._edge.proofs.has_keys(),
--- a/hornbeamdeck/request/once_sources.py
+++ b/hornbeamdeck/request/idempotency.py
@@ -6,11 +6,12 @@
 
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.const import HEADER_IDEMPOTENCY_KEY
-from hornbeamdeck.process.issued_calls import IssuedCalls
+from hornbeamdeck.process.issued_key_calls import IssuedKeyCalls
 from hornbeamdeck.process.membership import Membership
 from hornbeamdeck.request.admission import Admission
 from hornbeamdeck.request.claim import Claims
 from hornbeamdeck.request.claim_record import ClaimCall, claim_key
+from hornbeamdeck.request.execution_right import Once, Recorded
 from hornbeamdeck.request.forward import (
     HEADER_FORWARDED,
     async_forward,
@@ -20,28 +21,31 @@
     IssuedKey,
     is_issued,
     issue_key,
-    read_key,
+    verify_issued_key,
 )
-from hornbeamdeck.request.once import Once, Recorded
 from hornbeamdeck.request.outcome import Failure
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('OnceSources', 'async_take_once', 'issue_for')
+__all__ = (
+    'IdempotencyContext',
+    'async_acquire_execution_right',
+    'issue_key_for_team',
+)
 
 
 MAX_KEY_CHARS: Final = 256
 
 
-class OnceSources(NamedTuple):
+class IdempotencyContext(NamedTuple):
     """Dependencies for claims and issued keys, and this instance's identity."""
 
     claims: Claims
-    issued: IssuedCalls
+    issued: IssuedKeyCalls
     membership: Membership
     secret: str
 
 
-def issue_for(sources: OnceSources, team: str) -> str:
+def issue_key_for_team(sources: IdempotencyContext, team: str) -> str:
     """Issue a key whose call only this incarnation will run."""
     own = sources.membership.own
     return issue_key(
@@ -52,8 +56,8 @@
     )
 
 
-async def async_take_once(
-    sources: OnceSources,
+async def async_acquire_execution_right(
+    sources: IdempotencyContext,
     admission: Admission,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
     """Get the right to run a call, or the outcome of an earlier request.
@@ -73,7 +77,7 @@
         return await sources.claims.async_claim(
             _make_claim_call(admission, key_text)
         )
-    decoded = read_key(
+    decoded = verify_issued_key(
         key_text, team=admission.team.name, secret=sources.secret
     )
     if isinstance(decoded, Err):
@@ -96,7 +100,7 @@
     )
 
 
-def _is_issued_here(sources: OnceSources, key: IssuedKey) -> bool:
+def _is_issued_here(sources: IdempotencyContext, key: IssuedKey) -> bool:
     own = sources.membership.own
     return (key.instance_id, key.incarnation) == (
         own.instance_id,
@@ -105,7 +109,7 @@
 
 
 async def _async_forward_to_issuer(
-    sources: OnceSources,
+    sources: IdempotencyContext,
     admission: Admission,
     key: IssuedKey,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
--- a/hornbeamdeck/request/issued_key.py
+++ b/hornbeamdeck/request/issued_key.py
@@ -22,7 +22,7 @@
 from hornbeamdeck.request.outcome import NotRun
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('IssuedKey', 'is_issued', 'issue_key', 'read_key')
+__all__ = ('IssuedKey', 'is_issued', 'issue_key', 'verify_issued_key')
 
 KEY_PREFIX: Final = 'hbk1.'
 LIFETIME_S: Final = 3600
@@ -67,7 +67,9 @@
     return f'{KEY_PREFIX}{body.decode(ENCODING)}.{_mac(body, secret)}'
 
 
-def read_key(text: str, *, team: str, secret: str) -> Result[IssuedKey, NotRun]:
+def verify_issued_key(
+    text: str, *, team: str, secret: str
+) -> Result[IssuedKey, NotRun]:
     """Check a key's signature and team.
 
     Without a signature, a caller could name an incarnation that never existed,
--- a/hornbeamdeck/request/placement.py
+++ b/hornbeamdeck/request/placement.py
@@ -9,14 +9,14 @@
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.errors import ConnectFailed
-from hornbeamdeck.process.policy import Policy
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.request.admission import Admission
 from hornbeamdeck.request.outcome import NotRun
 from hornbeamdeck.request.refusal import deadline_passed
 from hornbeamdeck.version.configuration import Configuration
 from hornbeamdeck.wire import Enqueue, RunEnd
 
-__all__ = ('Placement', 'async_place')
+__all__ = ('Placement', 'async_acquire_upstream')
 
 _LOGGER = structlog.get_logger(prefix='dispatch')
 
@@ -37,7 +37,7 @@
     granted_ms: float
 
 
-async def async_place(
+async def async_acquire_upstream(
     admission: Admission,
     configuration: Configuration,
     policy: Policy,
--- a/hornbeamdeck/request/refusal.py
+++ b/hornbeamdeck/request/refusal.py
@@ -11,7 +11,7 @@
     'bad_request',
     'deadline_passed',
     'forbidden',
-    'from_refuse',
+    'refusal_from_owner',
     'platform_down',
     'unauthorized',
     'unknown_service',
@@ -42,7 +42,7 @@
 )
 
 
-def from_refuse(refusal: Refuse) -> NotRun:
+def refusal_from_owner(refusal: Refuse) -> NotRun:
     """Convert an owner's refusal to the one that the caller gets."""
     if refusal.reason == RefusalReason.CULPRIT:
         return unprocessable('upstreams have died of this request')
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -10,7 +10,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.engine_stream import (
     HEADER_RESUMABLE,
@@ -22,7 +22,7 @@
     HEADER_OUTCOME,
     HEADER_REQUEST_ID,
 )
-from hornbeamdeck.process.policy import Policy
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.request.admission import Admission
 from hornbeamdeck.request.outcome import Outcome, Unknown
 from hornbeamdeck.request.placement import Placement
@@ -179,7 +179,7 @@
     """
     relay = Relay(admission, placement)
     try:
-        return await async_within(
+        return await async_with_timeout(
             limit_ms,
             relay.async_run(caller, policy),
         )
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -6,27 +6,30 @@
 from result import Err, Result
 
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import Answer
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
+from hornbeamdeck.connection.request_loop import RequestHandler
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.request.admission import (
     PLAIN_PREFIX,
     Admission,
     admit_model,
     admit_plain,
-    new_id,
+    make_request_id,
 )
-from hornbeamdeck.request.answer import Answering, async_answer_admitted
+from hornbeamdeck.request.admitted_request import (
+    AnswerContext,
+    async_answer_admitted_request,
+)
+from hornbeamdeck.request.endpoints import RouterContext, answer_own_endpoint
 from hornbeamdeck.request.outcome import NotRun, to_response
-from hornbeamdeck.request.pages import Routing, own_page
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('Routing', 'make_answer', 'refuse_unreadable')
+__all__ = ('RouterContext', 'make_answer', 'refuse_unreadable')
 
 COMPLETION_PATHS: Final = ('/v1/chat/completions', '/v1/completions')
 
 
-def make_answer(routing: Routing) -> Answer:
+def make_answer(routing: RouterContext) -> RequestHandler:
     """Make the function that answers one request."""
 
     async def _async_answer(
@@ -43,18 +46,18 @@
 
 
 async def _async_route(
-    routing: Routing,
-    parts: Answering,
+    routing: RouterContext,
+    parts: AnswerContext,
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
-    request_id = new_id()
+    request_id = make_request_id()
     if request.path in COMPLETION_PATHS:
         admitted = _admit_completion_call(parts, request, request_id)
     elif request.path.startswith(PLAIN_PREFIX):
         admitted = admit_plain(parts.configuration, request, request_id)
     else:
-        response = own_page(routing, parts, request, request_id)
+        response = answer_own_endpoint(routing, parts, request, request_id)
         await caller.async_respond(response)
         return
     if isinstance(admitted, Err):
@@ -62,11 +65,11 @@
         response = to_response(admitted.err_value, request_id)
         await caller.async_respond(response)
         return
-    await async_answer_admitted(parts, admitted.ok_value, caller)
+    await async_answer_admitted_request(parts, admitted.ok_value, caller)
 
 
 def _admit_completion_call(
-    parts: Answering,
+    parts: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> Result[Admission, NotRun]:
@@ -84,4 +87,4 @@
 def refuse_unreadable(bad: BadRequest) -> HttpResponse:
     """Make the response to a request that can't be parsed."""
     refusal = bad_request(bad.detail, 'unreadable')._replace(status=bad.status)
-    return to_response(refusal, new_id())
+    return to_response(refusal, make_request_id())
--- a/hornbeamdeck/scheduling/cell_door.py
+++ b/hornbeamdeck/scheduling/admission_control.py
@@ -10,30 +10,30 @@
 from hornbeamdeck.scheduling.forecast import Forecast
 from hornbeamdeck.scheduling.request_rank import route_rank_of
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
-from hornbeamdeck.scheduling.return_times import RetrySchedule
+from hornbeamdeck.scheduling.retry_schedule import RetrySchedule
 from hornbeamdeck.scheduling.token_quota import (
     SMALL_REQUEST_SHARE,
-    Need,
+    TokenNeed,
     TokenQuotas,
 )
-from hornbeamdeck.scheduling.waiting_room import WaitQueue
-from hornbeamdeck.version.routed import RoutedTeam
+from hornbeamdeck.scheduling.wait_queue import WaitQueue
+from hornbeamdeck.version.gateway import GatewayTeam
 from hornbeamdeck.wire import Enqueue, RefusalReason
 
-__all__ = ('AdmissionControl', 'Shared')
+__all__ = ('AdmissionControl', 'SharedState')
 
 # Number of retries that one request may cost its service.
 MAX_RETRIES: Final = 4
 
 
-class Shared(NamedTuple):
+class SharedState(NamedTuple):
     """State that the cells of one owner share.
 
     :param teams: the teams of the configuration in force, by name.
     """
 
     quotas: TokenQuotas
-    teams: dict[str, RoutedTeam]
+    teams: dict[str, GatewayTeam]
 
 
 class AdmissionControl:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        shared: Shared,
+        shared: SharedState,
         retry_budget: RetryBudget,
         wait_queue: WaitQueue,
     ) -> None:
@@ -50,7 +50,7 @@
         self._retry_budget = retry_budget
         self._wait_queue = wait_queue
         self._retry_schedule = RetrySchedule()
-        self._token_needs: dict[str, tuple[str, Need]] = {}
+        self._token_needs: dict[str, tuple[str, TokenNeed]] = {}
 
     def reason_to_refuse(
         self,
@@ -168,12 +168,14 @@
             return RefusalReason.TOO_MANY_TRIES
         return None
 
-    def _team_to_charge(self, request: Enqueue) -> RoutedTeam | None:
+    def _team_to_charge(self, request: Enqueue) -> GatewayTeam | None:
         """Return the team to charge; a retry is not charged again."""
         if request.excluded or not request.quota_tokens:
             return None
         return self._shared.teams.get(request.team)
 
 
-def _need_of(request: Enqueue, max_wait_ms: float = 0) -> Need:
-    return Need(int(request.quota_tokens), route_rank_of(request), max_wait_ms)
+def _need_of(request: Enqueue, max_wait_ms: float = 0) -> TokenNeed:
+    return TokenNeed(
+        int(request.quota_tokens), route_rank_of(request), max_wait_ms
+    )
--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -5,9 +5,9 @@
 from types import MappingProxyType
 from typing import Final, NamedTuple
 
-from hornbeamdeck.scheduling.suspicion import Suspicions
-from hornbeamdeck.scheduling.ticket import Deliver, Ticket
+from hornbeamdeck.scheduling.queued_request import Deliver, QueuedRequest
 from hornbeamdeck.scheduling.tier_queue import TierQueue
+from hornbeamdeck.scheduling.upstream_crash_tracker import UpstreamCrashTracker
 from hornbeamdeck.scheduling.upstream_load import UpstreamLoad
 from hornbeamdeck.version.entities import Upstream
 from hornbeamdeck.wire import (
@@ -35,7 +35,7 @@
     :param held_for: why it waited while upstreams had free slots, if it did.
     """
 
-    ticket: Ticket
+    ticket: QueuedRequest
     upstream: str
     address: str = ''
     held_for: str = ''
@@ -47,7 +47,7 @@
     :param facts: what the refusal was based on, as log fields.
     """
 
-    ticket: Ticket
+    ticket: QueuedRequest
     refusal: Refuse
     facts: Mapping[str, object] = MappingProxyType({})
 
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         """Start without upstreams; `adopt` adds them."""
         self.loads: dict[str, UpstreamLoad] = {}
-        self.suspicions = Suspicions()
+        self.suspicions = UpstreamCrashTracker()
         self._tiers: dict[int, TierQueue] = {}
         self._latest_start: list[tuple[float, str, int]] = []
         self._weights: Mapping[str, int] = {}
@@ -98,7 +98,7 @@
     ) -> Refused | None:
         """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
-        ticket = Ticket(
+        ticket = QueuedRequest(
             request=request,
             sender=sender,
             deliver=deliver,
@@ -150,7 +150,7 @@
         """
         for rank in sorted(self._tiers):
             queue = self._tiers[rank]
-            skipped: list[Ticket] = []
+            skipped: list[QueuedRequest] = []
             is_full = yield from self._grants_of_tier(queue, skipped, now)
             for ticket in skipped:
                 queue.push(ticket)
@@ -220,7 +220,7 @@
     def _grants_of_tier(
         self,
         queue: TierQueue,
-        skipped: list[Ticket],
+        skipped: list[QueuedRequest],
         now: float,
     ) -> Generator[Granted, None, bool]:
         while queue and len(skipped) < MAX_SKIPPED:
@@ -240,7 +240,7 @@
 
     def _must_skip(
         self,
-        ticket: Ticket,
+        ticket: QueuedRequest,
         load: UpstreamLoad,
         now: float,
     ) -> bool:
@@ -256,7 +256,7 @@
         )
         return self.suspicions.must_wait(request.fingerprint, running, now)
 
-    def _place(self, ticket: Ticket, now: float) -> UpstreamLoad | None:
+    def _place(self, ticket: QueuedRequest, now: float) -> UpstreamLoad | None:
         request = ticket.request
         is_top_tier = request.tier_rank == self._top_rank
         excluded = request.excluded or ()
@@ -288,7 +288,7 @@
         slots = sum(load.upstream.max_running for load in self.loads.values())
         return ahead_ms / max(slots, 1)
 
-    def _refuse(self, ticket: Ticket, reason: RefusalReason) -> Refused:
+    def _refuse(self, ticket: QueuedRequest, reason: RefusalReason) -> Refused:
         wait_ms = self._wait_ms(ticket.request.tier_rank)
         retry_ms = min(max(int(wait_ms), MIN_RETRY_MS), MAX_RETRY_MS)
         refusal = Refuse(
@@ -321,7 +321,7 @@
     return load.service_ms(request.prompt_tokens, request.output_tokens)
 
 
-def _to_register(ticket: Ticket, load: UpstreamLoad) -> Register:
+def _to_register(ticket: QueuedRequest, load: UpstreamLoad) -> Register:
     return Register(
         request_id=ticket.request.request_id,
         cell=ticket.request.cell,
