--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -9,10 +9,13 @@
 from typing import Final
 
 from hornbeamdeck.process.engine_directory import Engine
+from hornbeamdeck.scheduling.admission_control import (
+    AdmissionControl,
+    SharedState,
+)
 from hornbeamdeck.scheduling.cell import Granted, Refused
-from hornbeamdeck.scheduling.cell_door import AdmissionControl, Shared
-from hornbeamdeck.scheduling.crash_watch import CrashWatch
 from hornbeamdeck.scheduling.engine_choice import choose_engine
+from hornbeamdeck.scheduling.engine_crash_tracker import EngineCrashTracker
 from hornbeamdeck.scheduling.engine_load import (
     EngineLoad,
     ServiceEstimates,
@@ -24,11 +27,11 @@
     PlacementScan,
     PlacementTracker,
 )
+from hornbeamdeck.scheduling.queued_request import Deliver, QueuedRequest
 from hornbeamdeck.scheduling.request_rank import value_of
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
-from hornbeamdeck.scheduling.ticket import Deliver, Ticket
-from hornbeamdeck.scheduling.waiting_room import WaitQueue
-from hornbeamdeck.version.routed import EngineTraits
+from hornbeamdeck.scheduling.wait_queue import WaitQueue
+from hornbeamdeck.version.gateway import EngineProperties
 from hornbeamdeck.wire import (
     Enqueue,
     Progress,
@@ -53,10 +56,10 @@
 class EngineCell:
     """Queues the requests of one service and places them on its engines."""
 
-    def __init__(self, shared: Shared, retry_budget: RetryBudget) -> None:
+    def __init__(self, shared: SharedState, retry_budget: RetryBudget) -> None:
         """Start without engines; `adopt` adds them."""
         self.loads: dict[str, EngineLoad] = {}
-        self.suspicions = CrashWatch()
+        self.suspicions = EngineCrashTracker()
         self._wait_queue = WaitQueue()
         self._estimates = ServiceEstimates.initial()
         self._hold_reasons: dict[str, str] = {}
@@ -73,7 +76,7 @@
     def adopt(
         self,
         engines: Iterable[Engine],
-        traits: EngineTraits,
+        traits: EngineProperties,
         slowness: dict[str, float],
     ) -> None:
         """Apply a new list of engines.
@@ -106,7 +109,7 @@
     ) -> Refused | None:
         """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
-        ticket = Ticket(
+        ticket = QueuedRequest(
             request=request,
             sender=sender,
             deliver=deliver,
@@ -242,7 +245,7 @@
 
     def _try_place(
         self,
-        ticket: Ticket,
+        ticket: QueuedRequest,
         scan: PlacementScan,
         blocked: dict[str, int],
         now: float,
@@ -263,7 +266,7 @@
 
     def _place(
         self,
-        ticket: Ticket,
+        ticket: QueuedRequest,
         free: list[EngineLoad],
         now: float,
     ) -> Granted | None:
@@ -287,7 +290,7 @@
 
     def _refuse(
         self,
-        ticket: Ticket,
+        ticket: QueuedRequest,
         reason: RefusalReason,
         now: float,
     ) -> Refused:
@@ -317,7 +320,7 @@
         }
 
 
-def _add_run(load: EngineLoad, ticket: Ticket, now: float) -> None:
+def _add_run(load: EngineLoad, ticket: QueuedRequest, now: float) -> None:
     request = ticket.request
     run = Register(
         request_id=request.request_id,
@@ -366,7 +369,7 @@
 
 
 def _update_crash_watch(
-    suspicions: CrashWatch,
+    suspicions: EngineCrashTracker,
     engine: Engine,
     fingerprint: str,
     end: RunEnd,
--- a/hornbeamdeck/scheduling/engine_choice.py
+++ b/hornbeamdeck/scheduling/engine_choice.py
@@ -11,8 +11,8 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.scheduling.engine_load import EngineLoad, base_first_token_ms
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
 from hornbeamdeck.scheduling.request_rank import value_of
-from hornbeamdeck.scheduling.ticket import Ticket
 
 __all__ = ('TimeBudget', 'Choice', 'choose_engine')
 
@@ -55,7 +55,7 @@
 
 def choose_engine(
     free: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
     time_budget: TimeBudget,
 ) -> Choice:
@@ -78,7 +78,7 @@
 
 def _shortlist(
     free: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
 ) -> list[EngineLoad]:
     """Return the engines with the lowest cost by a quick estimate."""
@@ -94,7 +94,7 @@
 
 def _choose(
     free: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
     time_budget: TimeBudget,
 ) -> Choice:
@@ -123,7 +123,7 @@
 def _choose_without_slack(
     eligible: list[EngineLoad],
     on_time: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
 ) -> EngineLoad | None:
     """Choose an engine for a request that can't wait any longer.
@@ -145,14 +145,16 @@
     )
 
 
-def _is_eligible(load: EngineLoad, ticket: Ticket, now: float) -> bool:
+def _is_eligible(load: EngineLoad, ticket: QueuedRequest, now: float) -> bool:
     request = ticket.request
     if load.engine.name in (request.excluded or ()):
         return False
     return not load.health.is_in_backoff(request.zone or '', now)
 
 
-def _first_token_ms(load: EngineLoad, ticket: Ticket, now: float) -> float:
+def _first_token_ms(
+    load: EngineLoad, ticket: QueuedRequest, now: float
+) -> float:
     return load.first_token_ms(
         base_first_token_ms(ticket.request.prompt_tokens), now
     )
@@ -162,7 +164,9 @@
     return OCCUPANCY_COST_MS * load.slowness * len(load.runs) / load.slots
 
 
-def _interrupted_value(load: EngineLoad, ticket: Ticket, now: float) -> float:
+def _interrupted_value(
+    load: EngineLoad, ticket: QueuedRequest, now: float
+) -> float:
     """Return the value of the streams that a request would interrupt."""
     gap_ms = load.gap_ms(ticket.request.prompt_tokens, now)
     return load.interrupted_value(gap_ms / GAP_SHARE)
@@ -170,7 +174,7 @@
 
 def _without_interruption(
     loads: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
 ) -> list[EngineLoad]:
     """Return the engines on which a request would interrupt no stream."""
@@ -179,7 +183,7 @@
 
 def _lowest_cost(
     loads: list[EngineLoad],
-    ticket: Ticket,
+    ticket: QueuedRequest,
     now: float,
 ) -> EngineLoad | None:
     return min(
@@ -189,7 +193,7 @@
     )
 
 
-def _cost_ms(load: EngineLoad, ticket: Ticket, now: float) -> float:
+def _cost_ms(load: EngineLoad, ticket: QueuedRequest, now: float) -> float:
     zone = ticket.request.zone or ''
     cost_ms = _first_token_ms(load, ticket, now)
     cost_ms += _occupancy_cost_ms(load)
--- a/hornbeamdeck/scheduling/crash_watch.py
+++ b/hornbeamdeck/scheduling/engine_crash_tracker.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import Final, NamedTuple
 
-__all__ = ('POISON_CRASHES', 'CrashWatch')
+__all__ = ('POISON_CRASHES', 'EngineCrashTracker')
 
 # A request that was running on this many engines when they crashed is refused.
 POISON_CRASHES: Final = 3
@@ -30,7 +30,7 @@
     until_ms: float
 
 
-class CrashWatch:
+class EngineCrashTracker:
     """Counts crashes by the fingerprint of the requests that were running."""
 
     def __init__(self) -> None:
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -13,9 +13,9 @@
 from hornbeamdeck.scheduling.engine_health import EngineHealth
 from hornbeamdeck.scheduling.engine_run import EngineRun, record_prefill_overlap
 from hornbeamdeck.scheduling.forecast import Forecast
+from hornbeamdeck.scheduling.gap_estimate import GapEstimate, prefill_ms
 from hornbeamdeck.scheduling.output_estimate import OutputEstimate
-from hornbeamdeck.scheduling.pause_estimate import GapEstimate, prefill_ms
-from hornbeamdeck.version.routed import EngineTraits
+from hornbeamdeck.version.gateway import EngineProperties
 from hornbeamdeck.wire import Register, RunEnd
 
 __all__ = (
@@ -59,7 +59,7 @@
     def __init__(
         self,
         engine: Engine,
-        traits: EngineTraits,
+        traits: EngineProperties,
         estimates: ServiceEstimates,
     ) -> None:
         """Start idle, at the modelled speed.
@@ -73,7 +73,7 @@
         self.health = EngineHealth()
         self._prefill_done_ms = 0.0
 
-    def update(self, engine: Engine, traits: EngineTraits) -> None:
+    def update(self, engine: Engine, traits: EngineProperties) -> None:
         """Apply the engine's current entry in the list of engines."""
         self.engine = engine
         self.traits = traits
--- a/hornbeamdeck/scheduling/engine_run.py
+++ b/hornbeamdeck/scheduling/engine_run.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from hornbeamdeck.scheduling.pause_estimate import prefill_ms
+from hornbeamdeck.scheduling.gap_estimate import prefill_ms
 
 __all__ = ('EngineRun', 'record_prefill_overlap')
 
--- a/hornbeamdeck/scheduling/ticket.py
+++ b/hornbeamdeck/scheduling/queued_request.py
@@ -5,12 +5,12 @@
 
 from hornbeamdeck.wire import Enqueue, Message
 
-__all__ = ('Deliver', 'Ticket')
+__all__ = ('Deliver', 'QueuedRequest')
 
 Deliver: TypeAlias = Callable[[Message], Awaitable[None]]
 
 
-class Ticket(NamedTuple):
+class QueuedRequest(NamedTuple):
     """One waiting request.
 
     :param sender: the connection on which it was received; the request is
--- a/hornbeamdeck/scheduling/tier_queue.py
+++ b/hornbeamdeck/scheduling/tier_queue.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Iterator
 
-from hornbeamdeck.scheduling.ticket import Ticket
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
 
 __all__ = ('TierQueue',)
 
@@ -20,12 +20,12 @@
 
     def __init__(self, tag: float) -> None:
         self.tag = tag
-        self.tickets: dict[str, Ticket] = {}
+        self.tickets: dict[str, QueuedRequest] = {}
         self.cost_tokens = 0
         self._by_deadline: list[tuple[float, int, str]] = []
         self._by_arrival: list[str] = []
 
-    def push(self, ticket: Ticket, sequence: int) -> None:
+    def push(self, ticket: QueuedRequest, sequence: int) -> None:
         request_id = ticket.request.request_id
         self.tickets[request_id] = ticket
         self.cost_tokens += ticket.cost_tokens
@@ -33,17 +33,17 @@
         heapq.heappush(self._by_deadline, entry)
         self._by_arrival.append(request_id)
 
-    def earliest(self) -> Ticket:
+    def earliest(self) -> QueuedRequest:
         while self._by_deadline[0][2] not in self.tickets:
             heapq.heappop(self._by_deadline)
         return self.tickets[self._by_deadline[0][2]]
 
-    def newest(self) -> Ticket:
+    def newest(self) -> QueuedRequest:
         while self._by_arrival[-1] not in self.tickets:
             self._by_arrival.pop()
         return self.tickets[self._by_arrival[-1]]
 
-    def remove(self, request_id: str) -> Ticket:
+    def remove(self, request_id: str) -> QueuedRequest:
         ticket = self.tickets.pop(request_id)
         self.cost_tokens -= ticket.cost_tokens
         self._compact()
@@ -84,12 +84,12 @@
         """Return whether a request waits here."""
         return request_id in self._team_of
 
-    def __iter__(self) -> Iterator[Ticket]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         """Iterate over all waiting requests in no particular order."""
         for team in self._teams.values():
             yield from team.tickets.values()
 
-    def push(self, ticket: Ticket) -> None:
+    def push(self, ticket: QueuedRequest) -> None:
         """Add a request."""
         name = ticket.request.team
         team = self._teams.get(name)
@@ -99,11 +99,11 @@
         self._team_of[ticket.request.request_id] = name
         self.service_ms += ticket.service_ms
 
-    def next_ticket(self) -> Ticket:
+    def next_ticket(self) -> QueuedRequest:
         """Return the next request to serve without removing it."""
         return self._next_team().earliest()
 
-    def serve(self, request_id: str, weight: int) -> Ticket:
+    def serve(self, request_id: str, weight: int) -> QueuedRequest:
         """Remove a request that is served and charge its team for it."""
         name = self._team_of[request_id]
         team = self._teams[name]
@@ -113,7 +113,7 @@
         heapq.heappush(self._order, (team.tag, name))
         return self.remove(request_id)
 
-    def remove(self, request_id: str) -> Ticket:
+    def remove(self, request_id: str) -> QueuedRequest:
         """Remove a request that is not served."""
         name = self._team_of.pop(request_id)
         team = self._teams[name]
@@ -121,7 +121,7 @@
         self.service_ms -= ticket.service_ms
         return ticket
 
-    def newest_of_largest_team(self) -> Ticket:
+    def newest_of_largest_team(self) -> QueuedRequest:
         """Return the request to refuse: the newest of the largest team.
 
         The largest team is the one that waits for the most tokens.
--- a/hornbeamdeck/scheduling/token_quota.py
+++ b/hornbeamdeck/scheduling/token_quota.py
@@ -10,11 +10,11 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.version.routed import RoutedTeam
+from hornbeamdeck.version.gateway import GatewayTeam
 
 __all__ = (
     'SMALL_REQUEST_SHARE',
-    'Need',
+    'TokenNeed',
     'QuotaRules',
     'QuotaView',
     'TokenQuotas',
@@ -62,7 +62,7 @@
     slack: float
 
 
-class Need(NamedTuple):
+class TokenNeed(NamedTuple):
     """Tokens that a request needs of its team's limit.
 
     :param rank: requests of this priority or a higher one get theirs first.
@@ -113,7 +113,7 @@
         self._buckets: dict[str, _Bucket] = {}
         self._waiting: dict[str, dict[int, int]] = {}
 
-    def may_wait(self, team: RoutedTeam, need: Need, now: float) -> bool:
+    def may_wait(self, team: GatewayTeam, need: TokenNeed, now: float) -> bool:
         """Return whether a request may wait for its tokens.
 
         A bucket that lacks a few tokens gains them in a fraction of a second. A
@@ -133,19 +133,19 @@
         missing = tokens + tokens_ahead - bucket.level
         return missing <= need.max_wait_ms * self._per_ms(team)
 
-    def add_waiting(self, team: str, need: Need) -> None:
+    def add_waiting(self, team: str, need: TokenNeed) -> None:
         """Count a request among those that wait for a team's tokens."""
         waiting = self._waiting.setdefault(team, {})
         waiting[need.rank] = waiting.get(need.rank, 0) + need.tokens
 
-    def remove_waiting(self, team: str, need: Need) -> None:
+    def remove_waiting(self, team: str, need: TokenNeed) -> None:
         """Stop counting a request among those that wait."""
         waiting = self._waiting[team]
         waiting[need.rank] -= need.tokens
         if not any(waiting.values()):
             self._waiting.pop(team)
 
-    def has_tokens(self, team: RoutedTeam, tokens: int, now: float) -> bool:
+    def has_tokens(self, team: GatewayTeam, tokens: int, now: float) -> bool:
         """Return whether a team has a number of tokens now."""
         if not team.rate_per_s:
             return True
@@ -154,7 +154,7 @@
         needed = min(tokens, self._capacity(team))
         return self._filled(team, now).level >= needed
 
-    def spend(self, team: RoutedTeam, tokens: int, now: float) -> bool:
+    def spend(self, team: GatewayTeam, tokens: int, now: float) -> bool:
         """Charge tokens to a team's limit if it has them."""
         if not self.has_tokens(team, tokens, now):
             return False
@@ -167,7 +167,7 @@
         self._buckets.clear()
         self._is_first_start = False
 
-    def retry_after_ms(self, team: RoutedTeam, need: Need) -> int:
+    def retry_after_ms(self, team: GatewayTeam, need: TokenNeed) -> int:
         """Return the time until a request's tokens are available."""
         bucket = self._buckets.get(team.name)
         if bucket is None:
@@ -183,7 +183,7 @@
             return 'no limit in use'
         return f'{int(bucket.level)} tokens left, share {self._share():.2f}'
 
-    def _filled(self, team: RoutedTeam, now: float) -> _Bucket:
+    def _filled(self, team: GatewayTeam, now: float) -> _Bucket:
         bucket = self._buckets.get(team.name)
         if bucket is None:
             bucket = _Bucket(self._first_level(team), now)
@@ -191,7 +191,7 @@
         bucket.fill(self._per_ms(team), self._capacity(team), now)
         return bucket
 
-    def _tokens_ahead(self, team: RoutedTeam, rank: int) -> int:
+    def _tokens_ahead(self, team: GatewayTeam, rank: int) -> int:
         """Return the tokens that waiting requests get before a new request."""
         waiting = self._waiting.get(team.name, {})
         return sum(tokens for other, tokens in waiting.items() if other <= rank)
@@ -203,15 +203,15 @@
     def _slack(self) -> float:
         return self._rules.slack * USED_SLACK_SHARE
 
-    def _capacity(self, team: RoutedTeam) -> float:
+    def _capacity(self, team: GatewayTeam) -> float:
         return (team.burst + self._slack() * BURST_SHARE) * self._share()
 
-    def _per_ms(self, team: RoutedTeam) -> float:
+    def _per_ms(self, team: GatewayTeam) -> float:
         spread = self._slack() * (1 - BURST_SHARE) / self._rules.window_ms
         per_ms = team.rate_per_s / MILLIS_PER_SECOND + spread
         return per_ms * self._share()
 
-    def _first_level(self, team: RoutedTeam) -> float:
+    def _first_level(self, team: GatewayTeam) -> float:
         # After a restart of the whole fleet, the tokens spent right before it
         # are unknown. An empty bucket gives each team its rate, which hardly
         # affects teams below their limit. A full one could exceed the limit.
--- a/hornbeamdeck/scheduling/suspicion.py
+++ b/hornbeamdeck/scheduling/upstream_crash_tracker.py
@@ -12,7 +12,7 @@
 
 from hornbeamdeck.wire import RunEnd, Suspect
 
-__all__ = ('POISON_CRASHES', 'Suspicions')
+__all__ = ('POISON_CRASHES', 'UpstreamCrashTracker')
 
 POISON_CRASHES: Final = 2
 RETENTION_MS: Final = 600_000
@@ -36,7 +36,7 @@
     until_ms: float
 
 
-class Suspicions:
+class UpstreamCrashTracker:
     """Counts the crashes attributed to requests, by fingerprint."""
 
     def __init__(self) -> None:
--- a/hornbeamdeck/scheduling/upstream_load.py
+++ b/hornbeamdeck/scheduling/upstream_load.py
@@ -2,7 +2,7 @@
 
 from typing import Final, NamedTuple
 
-from hornbeamdeck.scheduling.estimate import SpeedEstimate
+from hornbeamdeck.scheduling.speed_estimate import SpeedEstimate
 from hornbeamdeck.version.entities import Upstream
 from hornbeamdeck.wire import Register, RunEnd
 
--- a/hornbeamdeck/scheduling/waiting_room.py
+++ b/hornbeamdeck/scheduling/wait_queue.py
@@ -11,13 +11,13 @@
 
 from hornbeamdeck.scheduling.engine_choice import TimeBudget
 from hornbeamdeck.scheduling.forecast import Forecast
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
 from hornbeamdeck.scheduling.request_rank import (
     RETRY_RANK,
     Rank,
     pick_by_route_rank,
     rank_of,
 )
-from hornbeamdeck.scheduling.ticket import Ticket
 from hornbeamdeck.wire import Enqueue
 
 __all__ = ('WaitQueue',)
@@ -50,7 +50,7 @@
     :param key_late: sort key after `start_ms`.
     """
 
-    ticket: Ticket
+    ticket: QueuedRequest
     start_ms: float
     objective_ms: float
     key_on_time: _OrderKey
@@ -59,7 +59,7 @@
     @classmethod
     def from_ticket(
         cls,
-        ticket: Ticket,
+        ticket: QueuedRequest,
         start_ms: float,
         objective_ms: float,
     ) -> Self:
@@ -91,7 +91,9 @@
         """Return the number of waiting requests."""
         return len(self._entries)
 
-    def push(self, ticket: Ticket, now: float, fastest_ms: float) -> None:
+    def push(
+        self, ticket: QueuedRequest, now: float, fastest_ms: float
+    ) -> None:
         """Add a request.
 
         :param fastest_ms: shortest expected time to its first token, once
@@ -109,7 +111,7 @@
         entry = _Entry.from_ticket(ticket, start_ms, objective_ms)
         self._entries[request.request_id] = entry
 
-    def remove(self, request_id: str) -> Ticket | None:
+    def remove(self, request_id: str) -> QueuedRequest | None:
         """Remove a request and return its ticket, if it waits here."""
         entry = self._entries.pop(request_id, None)
         return entry.ticket if entry else None
@@ -122,7 +124,7 @@
             if entry.ticket.sender == sender
         ]
 
-    def in_order(self, now: float) -> Iterator[Ticket]:
+    def in_order(self, now: float) -> Iterator[QueuedRequest]:
         """Iterate over the waiting requests in the order of their start."""
         if self._grants % FAIR_TURN_GRANTS:
             ordered = self._ordered(now)
@@ -138,7 +140,7 @@
         entry = self._entries[request_id]
         return TimeBudget(entry.objective_ms - now, entry.start_ms - now)
 
-    def expired(self, now: float, forecast: Forecast) -> list[Ticket]:
+    def expired(self, now: float, forecast: Forecast) -> list[QueuedRequest]:
         """Remove requests past their deadline or expected to start after it."""
         past_deadline = [
             entry
@@ -212,7 +214,7 @@
                 ahead += 1
         return forecast_expired
 
-    def _remove_all(self, tickets: list[Ticket]) -> list[Ticket]:
+    def _remove_all(self, tickets: list[QueuedRequest]) -> list[QueuedRequest]:
         for ticket in tickets:
             self._entries.pop(ticket.request.request_id)
         return tickets
--- a/hornbeamdeck/standin/batch.py
+++ b/hornbeamdeck/standin/batch.py
@@ -12,7 +12,7 @@
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('Batch', 'EngineModel', 'EngineRecords', 'Sequence')
+__all__ = ('Batch', 'EngineTiming', 'EngineCounters', 'Sequence')
 
 END_OF_OUTPUT: Final = -1
 COUNTER_NAMES: Final = (
@@ -23,7 +23,7 @@
 )
 
 
-class EngineModel(NamedTuple):
+class EngineTiming(NamedTuple):
     """Durations and limits of a simulated engine.
 
     :param speed: divisor of every duration; 1 is the reference engine.
@@ -46,7 +46,7 @@
         return cls(**raw)  # type: ignore[arg-type]
 
 
-class EngineRecords(NamedTuple):
+class EngineCounters(NamedTuple):
     """Counters of an engine.
 
     :param runs: number of runs by request id.
@@ -71,10 +71,10 @@
 class Batch:
     """The requests that an engine has admitted."""
 
-    def __init__(self, model: EngineModel) -> None:
+    def __init__(self, model: EngineTiming) -> None:
         """Create an empty batch."""
         self.model = model
-        self.records = EngineRecords(
+        self.records = EngineCounters(
             {},
             dict.fromkeys(COUNTER_NAMES, 0),
         )
--- a/hornbeamdeck/standin/booking.py
+++ b/hornbeamdeck/standin/booking.py
@@ -13,8 +13,8 @@
     HEADER_IDEMPOTENCY_KEY,
     MILLIS_PER_SECOND,
 )
-from hornbeamdeck.standin.web import (
-    async_setup_web,
+from hornbeamdeck.standin.http_server import (
+    async_setup_http_server,
     json_response,
     make_handler,
 )
@@ -63,4 +63,4 @@
     """
     booking = BookingStandin(service_ms=service_ms)
     request_handler = make_handler(booking.async_route)
-    return booking, await async_setup_web(address, request_handler)
+    return booking, await async_setup_http_server(address, request_handler)
--- a/hornbeamdeck/standin/commands.py
+++ b/hornbeamdeck/standin/commands.py
@@ -6,7 +6,7 @@
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.listener import Listener
 from hornbeamdeck.process.signals import stop_event
-from hornbeamdeck.standin.batch import EngineModel
+from hornbeamdeck.standin.batch import EngineTiming
 from hornbeamdeck.standin.booking import async_setup_booking
 from hornbeamdeck.standin.engine import async_setup_engine
 from hornbeamdeck.standin.platform import async_setup_platform
@@ -50,7 +50,7 @@
         case 'platform':
             _, listener = await async_setup_platform(address)
         case 'engine':
-            model = EngineModel(speed=speed)
+            model = EngineTiming(speed=speed)
             _, listener = await async_setup_engine(address, model)
         case 'booking':
             _, listener = await async_setup_booking(address)
--- a/hornbeamdeck/standin/completion.py
+++ b/hornbeamdeck/standin/completion.py
@@ -6,7 +6,7 @@
 
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.standin.web import json_response
+from hornbeamdeck.standin.http_server import json_response
 
 __all__ = ('encode_event', 'make_choice', 'extract_prompt', 'make_response')
 
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -33,20 +33,23 @@
 from hornbeamdeck.standin.batch import (
     END_OF_OUTPUT,
     Batch,
-    EngineModel,
+    EngineTiming,
     Sequence,
 )
-from hornbeamdeck.standin.cache import PrefixCache
 from hornbeamdeck.standin.completion import (
     encode_event,
     extract_prompt,
     make_choice,
     make_response,
 )
-from hornbeamdeck.standin.streams import Streams
-from hornbeamdeck.standin.web import async_setup_web, json_response
+from hornbeamdeck.standin.http_server import (
+    async_setup_http_server,
+    json_response,
+)
+from hornbeamdeck.standin.prefix_cache import PrefixCache
+from hornbeamdeck.standin.resumable_streams import Streams
 
-__all__ = ('EngineStandin', 'async_setup_engine', 'expected_answer')
+__all__ = ('EngineStandin', 'async_setup_engine', 'expected_response')
 
 DEFAULT_OUTPUT_TOKENS: Final = 16
 CHARS_PER_TOKEN: Final = 4
@@ -58,7 +61,7 @@
 OutageHandler: TypeAlias = Callable[[int], Awaitable[None]]
 
 
-def expected_answer(prompt: str, output_tokens: int) -> str:
+def expected_response(prompt: str, output_tokens: int) -> str:
     """Return the response text that an engine generates for a prompt.
 
     Callers compare it with what they received. The words depend on the
@@ -73,7 +76,7 @@
 class EngineStandin:
     """An engine with its batch, its delayed load report and its faults."""
 
-    def __init__(self, model: EngineModel) -> None:
+    def __init__(self, model: EngineTiming) -> None:
         """Create an idle engine without faults."""
         self.batch = Batch(model)
         self.cache = PrefixCache(max_blocks=model.cache_blocks)
@@ -242,7 +245,7 @@
 
 async def async_setup_engine(
     address: Address,
-    model: EngineModel,
+    model: EngineTiming,
 ) -> tuple[EngineStandin, Listener]:
     """Start an engine that listens on an address.
 
@@ -251,7 +254,7 @@
     :returns: the engine and its listener.
     """
     engine = EngineStandin(model)
-    listeners = [await async_setup_web(address, engine.async_handle)]
+    listeners = [await async_setup_http_server(address, engine.async_handle)]
     bound_address = listeners[0].address
     batch_task = await spawn(engine.batch.async_run, daemon=True)
     report_task = await spawn(engine.async_refresh_report, daemon=True)
@@ -268,7 +271,7 @@
     async def _async_cut() -> None:
         await listeners[-1].async_unload()
         listeners.append(
-            await async_setup_web(bound_address, engine.async_handle)
+            await async_setup_http_server(bound_address, engine.async_handle)
         )
 
     async def _async_outage(down_ms: int) -> None:
@@ -276,7 +279,7 @@
         await engine.streams.async_cancel_all()
         await sleep(down_ms / MILLIS_PER_SECOND)
         listeners.append(
-            await async_setup_web(bound_address, engine.async_handle)
+            await async_setup_http_server(bound_address, engine.async_handle)
         )
 
     engine.on_crash = _async_crash
--- a/hornbeamdeck/standin/web.py
+++ b/hornbeamdeck/standin/http_server.py
@@ -8,13 +8,16 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import Answer, async_serve_requests
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
+from hornbeamdeck.connection.request_loop import (
+    RequestHandler,
+    async_serve_requests,
+)
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import ENCODING
 
-__all__ = ('Route', 'async_setup_web', 'json_response', 'make_handler')
+__all__ = ('Route', 'async_setup_http_server', 'json_response', 'make_handler')
 
 Route: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
@@ -25,7 +28,7 @@
     return HttpResponse(status, headers, json.dumps(body).encode(ENCODING))
 
 
-def make_handler(route: Route) -> Answer:
+def make_handler(route: Route) -> RequestHandler:
     """Build a request handler from a function that returns a response."""
 
     async def _async_handle(
@@ -37,9 +40,9 @@
     return _async_handle
 
 
-async def async_setup_web(
+async def async_setup_http_server(
     address: Address,
-    request_handler: Answer,
+    request_handler: RequestHandler,
 ) -> Listener:
     """Serve requests on an address.
 
--- a/hornbeamdeck/standin/platform.py
+++ b/hornbeamdeck/standin/platform.py
@@ -14,13 +14,16 @@
 from curio.errors import TaskTimeout
 from result import Err
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.listener import Listener
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import MEBIBYTE, MILLIS_PER_SECOND, PREFIX_INSTANCE
-from hornbeamdeck.standin.web import async_setup_web, json_response
+from hornbeamdeck.standin.http_server import (
+    async_setup_http_server,
+    json_response,
+)
 
 __all__ = ('PlatformStandin', 'async_setup_platform')
 
@@ -37,7 +40,7 @@
     body: str
 
 
-class Switches(NamedTuple):
+class FaultSwitches(NamedTuple):
     """Simulated faults.
 
     :param is_down: whether calls are dropped without effect or response.
@@ -56,7 +59,7 @@
 
     def __init__(self) -> None:
         """Create a store without objects or faults."""
-        self.switches = Switches()
+        self.switches = FaultSwitches()
         self.calls: dict[str, int] = {}
         self.listed: dict[str, str] = {}
         self._stored: dict[str, _VersionedObject] = {}
@@ -161,7 +164,7 @@
         if since < self._oldest_revision:
             return json_response(HTTPStatus.GONE, {})
         try:
-            events = await async_within(
+            events = await async_with_timeout(
                 int(query_fields['timeout_ms'][0]),
                 self._async_wait_for_events(prefix, since),
             )
@@ -260,7 +263,7 @@
     :returns: the platform and its listener.
     """
     platform = PlatformStandin()
-    listener = await async_setup_web(address, platform.async_handle)
+    listener = await async_setup_http_server(address, platform.async_handle)
     probe_task: Task = await spawn(
         platform.async_probe_instances, lag_ms, daemon=True
     )
--- a/hornbeamdeck/standin/streams.py
+++ b/hornbeamdeck/standin/resumable_streams.py
@@ -12,11 +12,11 @@
 
 from curio import Event, Task, sleep, spawn
 
-from hornbeamdeck.connection.engine_stream import HEADER_STREAM
+from hornbeamdeck.connection.engine_stream import HEADER_STREAM_ID
 from hornbeamdeck.connection.http import HttpRequest
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.standin.batch import Batch, Sequence
-from hornbeamdeck.standin.web import json_response
+from hornbeamdeck.standin.http_server import json_response
 
 __all__ = ('Streams',)
 
@@ -142,7 +142,7 @@
     offset: int,
     connection: ServerConnection,
 ) -> None:
-    headers = {'content-type': 'text/event-stream', HEADER_STREAM: stream_id}
+    headers = {'content-type': 'text/event-stream', HEADER_STREAM_ID: stream_id}
     await connection.async_start(HTTPStatus.OK, headers)
     while True:
         unsent = bytes(stream.output[offset:])
--- a/hornbeamdeck/version/configuration.py
+++ b/hornbeamdeck/version/configuration.py
@@ -10,7 +10,6 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.version.check import DocumentError, cross_check
 from hornbeamdeck.version.const import (
     CONF_KEY_SHA256,
     CONF_NAME,
@@ -19,6 +18,7 @@
     CONF_TIERS,
     CONF_UPSTREAMS,
 )
+from hornbeamdeck.version.cross_check import DocumentError, cross_check
 from hornbeamdeck.version.entities import Service, Team, Tier, Upstream
 from hornbeamdeck.version.schema import DOCUMENT_SCHEMA
 
--- a/hornbeamdeck/version/entities.py
+++ b/hornbeamdeck/version/entities.py
@@ -14,7 +14,7 @@
     KIND_MODEL,
 )
 
-__all__ = ('NonIdempotent', 'Service', 'Team', 'Tier', 'Upstream')
+__all__ = ('NonIdempotentCalls', 'Service', 'Team', 'Tier', 'Upstream')
 
 
 class Tier(NamedTuple):
@@ -25,7 +25,7 @@
     deadline_ms: int
 
 
-class NonIdempotent(NamedTuple):
+class NonIdempotentCalls(NamedTuple):
     """Calls that may run at most once, by method and path prefix."""
 
     method: str
@@ -37,14 +37,14 @@
 
     name: str
     kind: str
-    non_idempotent: tuple[NonIdempotent, ...]
+    non_idempotent: tuple[NonIdempotentCalls, ...]
     retention_s: int
 
     @classmethod
     def from_config(cls, raw: Mapping[str, Any]) -> Self:
         """Build from a validated section of the document."""
         non_idempotent = tuple(
-            NonIdempotent(**calls) for calls in raw[CONF_NON_IDEMPOTENT]
+            NonIdempotentCalls(**calls) for calls in raw[CONF_NON_IDEMPOTENT]
         )
         return cls(**{**raw, CONF_NON_IDEMPOTENT: non_idempotent})
 
--- a/hornbeamdeck/version/routed.py
+++ b/hornbeamdeck/version/gateway.py
@@ -9,12 +9,12 @@
 from hornbeamdeck.const import ENCODING
 
 __all__ = (
-    'EdgeLimits',
-    'EngineTraits',
+    'CallerLimits',
+    'EngineProperties',
     'Route',
     'RouteKind',
-    'RoutedConfiguration',
-    'RoutedTeam',
+    'GatewayConfiguration',
+    'GatewayTeam',
     'ServiceShare',
     'key_digest',
 )
@@ -93,7 +93,7 @@
         return self.shares[-1].service
 
 
-class RoutedTeam(NamedTuple):
+class GatewayTeam(NamedTuple):
     """A group of a customer's callers, and its quota.
 
     :param priority: replaces the priority of the route; `None`: it does not.
@@ -109,7 +109,7 @@
     plain_tokens: int
 
 
-class EngineTraits(NamedTuple):
+class EngineProperties(NamedTuple):
     """Configured properties of the engines of one service.
 
     :param slots: requests that one engine runs at once; 0: not configured.
@@ -128,7 +128,7 @@
         return self.tokens_per_event > 0
 
 
-class EdgeLimits(NamedTuple):
+class CallerLimits(NamedTuple):
     """Limits on the requests of one caller."""
 
     max_header_bytes: int = DEFAULT_HEADER_BYTES
@@ -137,7 +137,7 @@
     idle_timeout_ms: int = DEFAULT_IDLE_MS
 
 
-class RoutedConfiguration(NamedTuple):
+class GatewayConfiguration(NamedTuple):
     """One version of the configuration, indexed for lookups.
 
     :param version: revision of the stored document; 0: none was read yet.
@@ -149,15 +149,15 @@
     version: int
     document: str
     routes: Mapping[str, Mapping[str, Route]]
-    services: Mapping[str, EngineTraits]
-    teams_by_key: Mapping[str, RoutedTeam]
-    teams: Mapping[str, RoutedTeam]
-    limits: EdgeLimits
+    services: Mapping[str, EngineProperties]
+    teams_by_key: Mapping[str, GatewayTeam]
+    teams: Mapping[str, GatewayTeam]
+    limits: CallerLimits
 
     @classmethod
     def empty(cls) -> Self:
         """Return the configuration of a process that has not read one yet."""
-        no_teams: Mapping[str, RoutedTeam] = MappingProxyType({})
+        no_teams: Mapping[str, GatewayTeam] = MappingProxyType({})
         return cls(
             version=0,
             document='',
@@ -165,7 +165,7 @@
             services=MappingProxyType({}),
             teams_by_key=no_teams,
             teams=no_teams,
-            limits=EdgeLimits(),
+            limits=CallerLimits(),
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
@@ -181,7 +181,7 @@
             end = path.rfind('/', 0, end)
         return None
 
-    def team_of_key(self, key: str) -> RoutedTeam | None:
+    def team_of_key(self, key: str) -> GatewayTeam | None:
         """Find the team that a bearer key belongs to."""
         return self.teams_by_key.get(key_digest(key))
 
--- a/hornbeamdeck/wire/__init__.py
+++ b/hornbeamdeck/wire/__init__.py
@@ -7,9 +7,9 @@
     Message,
     ToIngress,
     ToOwner,
-    body_of,
     decode_frame,
     encode_frame,
+    message_of,
 )
 from hornbeamdeck.wire.enums import RefusalReason, RunEnd
 from hornbeamdeck.wire.gen.peer.ttypes import (
@@ -60,7 +60,7 @@
     'ToIngress',
     'ToOwner',
     'Withdraw',
-    'body_of',
+    'message_of',
     'decode_frame',
     'encode_frame',
 )
--- a/hornbeamdeck/wire/codec.py
+++ b/hornbeamdeck/wire/codec.py
@@ -36,7 +36,7 @@
     'Message',
     'ToIngress',
     'ToOwner',
-    'body_of',
+    'message_of',
     'decode_frame',
     'encode_frame',
 )
@@ -139,13 +139,13 @@
     try:
         envelope.read(protocol)
         envelope.validate()
-        body_of(envelope).validate()
+        message_of(envelope).validate()
     except _DECODE_ERRORS as error:
         return Err(MalformedFrame(repr(error)))
     return Ok(envelope)
 
 
-def body_of(envelope: Envelope) -> Message:
+def message_of(envelope: Envelope) -> Message:
     """Return the message in an envelope.
 
     :raises ValueError: if there is none.
--- a/tests/connection/test_kept.py
+++ b/tests/connection/test_connection_pool.py
@@ -5,7 +5,10 @@
 import curio
 
 from hornbeamdeck.connection.client import ClientConnection
-from hornbeamdeck.connection.kept import MAX_IDLE_AT_ENGINE, KeptConnections
+from hornbeamdeck.connection.connection_pool import (
+    MAX_IDLE_AT_ENGINE,
+    ConnectionPool,
+)
 
 IDLE_MS = 10_000
 
@@ -26,7 +29,7 @@
 
 
 def _release(
-    pool: KeptConnections,
+    pool: ConnectionPool,
     *connections: _FakeConnection,
     idle_ms: float = IDLE_MS,
 ) -> None:
@@ -35,12 +38,12 @@
         curio.run(pool.async_keep, 'e1', typed, idle_ms)
 
 
-def _acquire(pool: KeptConnections) -> object:
+def _acquire(pool: ConnectionPool) -> object:
     return curio.run(pool.async_take, 'e1')
 
 
 def test_last_used_connection_is_taken_first() -> None:
-    pool = KeptConnections(lambda: 1)
+    pool = ConnectionPool(lambda: 1)
     older, newer = _FakeConnection(), _FakeConnection()
     _release(pool, older, newer)
     assert _acquire(pool) is newer
@@ -52,7 +55,7 @@
     """Guards against reading a late response, or a close, on an idle
     connection as the response to the next request.
     """
-    pool = KeptConnections(lambda: 1)
+    pool = ConnectionPool(lambda: 1)
     clean, stale = _FakeConnection(), _FakeConnection()
     _release(pool, clean, stale)
     stale.has_input = True
@@ -61,7 +64,7 @@
 
 
 def test_connection_that_cannot_be_reused_is_closed() -> None:
-    pool = KeptConnections(lambda: 1)
+    pool = ConnectionPool(lambda: 1)
     not_reusable, no_keep_alive = _FakeConnection(), _FakeConnection()
     not_reusable.may_reuse = False
     _release(pool, not_reusable)
@@ -72,7 +75,7 @@
 
 
 def test_expired_connection_is_closed() -> None:
-    pool = KeptConnections(lambda: 1)
+    pool = ConnectionPool(lambda: 1)
     expired = _FakeConnection()
     _release(pool, expired, idle_ms=1e-9)
     assert _acquire(pool) is None
@@ -84,7 +87,7 @@
     connection. The others to that engine are as old, and the next requests on
     them would fail in turn.
     """
-    pool = KeptConnections(lambda: 1)
+    pool = ConnectionPool(lambda: 1)
     both = (_FakeConnection(), _FakeConnection())
     _release(pool, *both)
     curio.run(pool.async_drop, 'e1')
@@ -96,9 +99,9 @@
     """Guards against idle connections of a hundred instances that use up the
     few hundred connections an engine accepts, so that new ones are reset.
     """
-    pool = KeptConnections(lambda: MAX_IDLE_AT_ENGINE // 2)
+    pool = ConnectionPool(lambda: MAX_IDLE_AT_ENGINE // 2)
     _release(pool, *(_FakeConnection() for _ in range(5)))
     assert len(pool) == 2
-    empty = KeptConnections(lambda: MAX_IDLE_AT_ENGINE + 1)
+    empty = ConnectionPool(lambda: MAX_IDLE_AT_ENGINE + 1)
     _release(empty, _FakeConnection())
     assert not len(empty)
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -2,9 +2,9 @@
 
 from curio import TaskGroup, sleep, spawn
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from tests.support import desk_entry, on_fleet
+from tests.support import completion_entry, on_fleet
 
 PLAN = FleetPlan(instances=2, speeds=(1.0,))
 CALLS = 6
@@ -25,7 +25,7 @@
     async with TaskGroup() as calls:
         for number in range(CALLS):
             address = fleet.instances[number % 2].own.address
-            entry = desk_entry(output_tokens=60)
+            entry = completion_entry(output_tokens=60)
             await calls.spawn(async_call, entry, number, address)
         await _async_until_running(fleet, CALLS)
         for _ in range(2):
@@ -42,7 +42,9 @@
     during a response and restarts without it; the caller must see an error.
     """
     address = fleet.instances[0].own.address
-    call = await spawn(async_call, desk_entry(output_tokens=200), 1, address)
+    call = await spawn(
+        async_call, completion_entry(output_tokens=200), 1, address
+    )
     await _async_until_running(fleet, 1)
     await sleep(0.1)
     outage = fleet.engines[0].on_outage
@@ -63,7 +65,7 @@
     # Without a cancel request the engine waits a minute for a resume.
     fleet.engines[0].streams.grace_s = 60
     address = fleet.instances[0].own.address
-    entry = desk_entry(output_tokens=5000)
+    entry = completion_entry(output_tokens=5000)
     call = await spawn(async_call, entry, 1, address)
     await _async_until_running(fleet, 1)
     await sleep(0.1)
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -2,19 +2,19 @@
 
 from typing import Any
 
-from hornbeamdeck.demo.caller import CallRecord
+from hornbeamdeck.demo.client import CallResult
 from hornbeamdeck.demo.report import (
-    failed_outcomes,
     format_table,
     percentile,
-    tier_rows,
+    summarize_by_tier,
+    unmet_outcomes,
 )
-from tests.support import desk_entry
+from tests.support import completion_entry
 
 
-def _record(**changes: Any) -> CallRecord:
-    record = CallRecord(
-        entry=desk_entry(),
+def _record(**changes: Any) -> CallResult:
+    record = CallResult(
+        entry=completion_entry(),
         status=200,
         outcome='ran',
         code='',
@@ -28,7 +28,7 @@
 
 
 def test_no_failure_without_unmet_outcome() -> None:
-    assert failed_outcomes([_record()], {'r1': 1}, {'k': 1}) == []
+    assert unmet_outcomes([_record()], {'r1': 1}, {'k': 1}) == []
 
 
 def test_each_unmet_outcome_is_reported() -> None:
@@ -47,14 +47,14 @@
         ([late], {'r1': 1}, {}, 'only 0 came in time'),
     ]
     for records, runs, keys, expected in cases:
-        failures = failed_outcomes(records, runs, keys)
+        failures = unmet_outcomes(records, runs, keys)
         assert len(failures) == 1
         assert expected in failures[0]
 
 
 def test_table_counts_results_by_tier() -> None:
-    long = desk_entry(tier='long')
-    rows = tier_rows([_record(), _record(entry=long, status=503)])
+    long = completion_entry(tier='long')
+    rows = summarize_by_tier([_record(), _record(entry=long, status=503)])
     assert [(row.tier, row.asked, row.shed) for row in rows] == [
         ('long', 1, 1),
         ('urgent', 1, 0),
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -7,7 +7,7 @@
 
 from hornbeamdeck.cli import explain
 from hornbeamdeck.explain import (
-    describe_way,
+    describe_request,
     explain_all,
     make_report,
     read_lines,
@@ -183,7 +183,7 @@
 
 def test_described_lines_are_ordered_by_time() -> None:
     lines = [_answered(second=3), _line('request: try ended', second=1)]
-    described = list(describe_way(read_lines(lines).by_request['r1']))
+    described = list(describe_request(read_lines(lines).by_request['r1']))
     assert 'try ended' in described[0]
     assert 'request answered' in described[1]
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -2,15 +2,15 @@
 
 from result import Err, Ok, Result
 
-from hornbeamdeck.connection.platform import (
-    PlatformDown,
-    PlatformError,
+from hornbeamdeck.connection.store_client import (
     StoredObject,
+    StoreError,
+    StoreUnavailable,
     VersionConflict,
 )
 
-DOWN = 'down'
-LOST = 'lost'
+FAULT_DOWN = 'down'
+FAULT_LOST_RESPONSE = 'lost'
 
 
 class FakePlatform:
@@ -33,11 +33,11 @@
         key: str,
         *,
         role: str,
-    ) -> Result[StoredObject | None, PlatformDown]:
+    ) -> Result[StoredObject | None, StoreUnavailable]:
         """Read an object."""
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         return Ok(self.stored.get(key))
 
     async def async_put(
@@ -48,15 +48,15 @@
         expected: int | None,
         role: str,
         timeout_ms: int = 0,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Write an object if its current version is the expected one.
 
         :param expected: the expected version; `None` if there must be no
             object.
         """
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.version += 1
@@ -69,11 +69,11 @@
         *,
         expected: int,
         role: str,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Delete an object if its current version is the expected one."""
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.stored.pop(key)
@@ -86,7 +86,7 @@
         stored = self.stored.get(key)
         return expected == (stored.version if stored else None)
 
-    def _write_result(self, fault: str) -> Result[int, PlatformError]:
-        if fault == LOST:
-            return Err(PlatformDown('the response was lost'))
+    def _write_result(self, fault: str) -> Result[int, StoreError]:
+        if fault == FAULT_LOST_RESPONSE:
+            return Err(StoreUnavailable('the response was lost'))
         return Ok(self.version)
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -8,9 +8,9 @@
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.platform.__main__ import WIRES
-from hornbeamdeck.process.front import Front
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.platform.__main__ import PLATFORM_ADAPTER
+from hornbeamdeck.process.gateway import Gateway
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from tests.platform.standins import EngineStandin, StoreStandin, document
 from tests.support import async_fetch
 
@@ -20,18 +20,18 @@
 Scenario = Callable[['PlatformFleet'], Awaitable[None]]
 
 
-def front_settings(
+def make_gateway_settings(
     store: Address,
     number: int = 0,
     **changes: Any,
-) -> FrontSettings:
+) -> GatewaySettings:
     """Make gateway settings with ports chosen by the operating system.
 
     :param number: distinguishes the instance IDs of a fleet.
     :param changes: settings that replace the defaults.
     """
     any_port = '127.0.0.1:0'
-    return FrontSettings.from_config(
+    return GatewaySettings.from_config(
         {
             'instance_id': f'front-{number}',
             'availability_zone': 'z1',
@@ -74,7 +74,7 @@
             EngineStandin('counter-1'),
             EngineStandin('counter-2'),
         ]
-        self.fronts: list[Front] = []
+        self.fronts: list[Gateway] = []
 
     async def async_start(self, count: int) -> None:
         """Start store, engines and gateways, and wait until all are ready."""
@@ -103,18 +103,18 @@
         *,
         store: Address | None = None,
         seeds: tuple[str, ...] = (),
-    ) -> Front:
+    ) -> Gateway:
         """Start one more gateway.
 
         :param store: a store to use instead of the fleet's.
         :param seeds: peer addresses of running gateways.
         """
-        settings = front_settings(
+        settings = make_gateway_settings(
             store or self.store_address,
             number,
             seed_peers=list(seeds),
         )
-        front = Front(settings, WIRES)
+        front = Gateway(settings, PLATFORM_ADAPTER)
         await front.async_start()
         self.fronts.append(front)
         return front
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -10,9 +10,9 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.connection.server import ServerConnection
 
 ANY_LOCAL_PORT = Address('127.0.0.1', 0)
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -7,7 +7,7 @@
 import tomllib
 from typing import Any
 
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 
 ROOT = pathlib.Path(__file__).parents[2]
 TEMPLATE_FIELDS: dict[str, Any] = {
@@ -52,7 +52,7 @@
     deploy = tomllib.loads((ROOT / 'deploy/system.toml').read_text())
     role = deploy['roles']['front']
     template = (ROOT / role['template']).read_text()
-    settings = FrontSettings.from_config(json.loads(_fill_template(template)))
+    settings = GatewaySettings.from_config(json.loads(_fill_template(template)))
     assert settings.bounds.grace_ms == 8500
     assert str(settings.entries_address) == '10.0.0.1:4'
     port, _, path = role['metrics'].partition('/')
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -9,8 +9,12 @@
     failure_response,
     read_request,
 )
+from hornbeamdeck.request.gateway_request import (
+    EngineAttempt,
+    GatewayRequest,
+    ResponseVerdict,
+)
 from hornbeamdeck.request.outcome import NotRun, Unknown
-from hornbeamdeck.request.routed_ask import Dispatch, RoutedAsk, Verdict
 
 HEADERS = {
     'host': 'Walks.example:80',
@@ -29,7 +33,7 @@
     return HttpRequest('POST', '/a/b', 'q=1', {**HEADERS, **named}, b'body')
 
 
-def _decoded(**changes: str) -> RoutedAsk:
+def _decoded(**changes: str) -> GatewayRequest:
     return read_request(_request(**changes)).unwrap()
 
 
@@ -90,7 +94,7 @@
         x_private='1',
         last_event_id='3',
     )
-    headers = engine_headers(decoded, Dispatch('e1', 'guides', 900, '7'))
+    headers = engine_headers(decoded, EngineAttempt('e1', 'guides', 900, '7'))
     assert headers == {
         'host': 'Walks.example:80',
         'hornbeamdeck-request-id': 'id-1',
@@ -108,33 +112,33 @@
 @pytest.mark.parametrize(
     ('status', 'headers', 'verdict'),
     [
-        (200, {'hornbeamdeck-response-seal': 's'}, Verdict.RAN),
-        (200, {}, Verdict.NOT_ITS_ANSWER),
-        (500, {'hornbeamdeck-response-seal': 's'}, Verdict.RAN),
-        (504, {}, Verdict.RAN),
-        (503, {'hornbeamdeck-not-executed': '1'}, Verdict.NOT_RUN),
-        (503, {}, Verdict.NOT_ITS_ANSWER),
-        (429, {}, Verdict.NOT_ITS_ANSWER),
-        (421, {}, Verdict.OTHER_ENGINE),
+        (200, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
+        (200, {}, ResponseVerdict.NOT_ITS_ANSWER),
+        (500, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
+        (504, {}, ResponseVerdict.RAN),
+        (503, {'hornbeamdeck-not-executed': '1'}, ResponseVerdict.NOT_RUN),
+        (503, {}, ResponseVerdict.NOT_ITS_ANSWER),
+        (429, {}, ResponseVerdict.NOT_ITS_ANSWER),
+        (421, {}, ResponseVerdict.OTHER_ENGINE),
         (
             200,
             {
                 'hornbeamdeck-response-seal': 's',
                 'hornbeamdeck-request-id': 'id-2',
             },
-            Verdict.NOT_ITS_ANSWER,
+            ResponseVerdict.NOT_ITS_ANSWER,
         ),
         (
             200,
             {'hornbeamdeck-response-seal': 's', 'content-encoding': 'gzip'},
-            Verdict.NOT_ITS_ANSWER,
+            ResponseVerdict.NOT_ITS_ANSWER,
         ),
     ],
 )
 def test_only_engine_header_shows_that_request_did_not_run(
     status: int,
     headers: dict[str, str],
-    verdict: Verdict,
+    verdict: ResponseVerdict,
 ) -> None:
     assert (
         classify_response(_decoded(), HttpResponse(status, headers, b''))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hornbeamdeck.platform.documents import parse_configuration, parse_engine
-from hornbeamdeck.version.routed import Route, RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration, Route
 from tests.platform.standins import document, route
 
 ENTRY: dict[str, Any] = {
@@ -20,12 +20,12 @@
 }
 
 
-def _parse_document(**changes: Any) -> RoutedConfiguration:
+def _parse_document(**changes: Any) -> GatewayConfiguration:
     text = json.dumps(document(**changes))
     return parse_configuration(text, 7).unwrap()
 
 
-def _find_route(configuration: RoutedConfiguration, path: str) -> Route | None:
+def _find_route(configuration: GatewayConfiguration, path: str) -> Route | None:
     return configuration.find_route('walks.example', path)
 
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_end_to_end.py
@@ -3,7 +3,7 @@
 import json
 
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from tests.platform.fleet import TOKEN_COUNTS, PlatformFleet, on_platform
 from tests.platform.standins import document, route
 from tests.support import async_fetch
--- a/tests/platform/test_engine_connections.py
+++ b/tests/platform/test_engine_connections.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hornbeamdeck.connection.kept import kept_for_ms
+from hornbeamdeck.connection.connection_pool import keep_alive_ms
 from tests.platform.fleet import TOKEN_COUNTS, PlatformFleet, on_platform
 from tests.platform.standins import EngineStandin
 
@@ -122,5 +122,5 @@
     header: str,
     idle_ms: float,
 ) -> None:
-    assert kept_for_ms({'keep-alive': header}) == idle_ms
-    assert not kept_for_ms({})
+    assert keep_alive_ms({'keep-alive': header}) == idle_ms
+    assert not keep_alive_ms({})
--- a/tests/platform/test_lagging_instance.py
+++ b/tests/platform/test_stale_instance.py
@@ -4,7 +4,7 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.store_reader import WATCH_MS
+from hornbeamdeck.process.store_reader import WATCH_TIMEOUT_MS
 from tests.platform.fleet import PlatformFleet, on_platform
 from tests.platform.standins import document, route
 
@@ -88,7 +88,7 @@
 ) -> None:
     """Guards against a final 404 while the store does not respond."""
     fleet.store.is_silent = True
-    await sleep(WATCH_MS / MILLIS_PER_SECOND)
+    await sleep(WATCH_TIMEOUT_MS / MILLIS_PER_SECOND)
     await fleet.store.async_put('config', 'main', _document_with_added_route())
     await _async_wait_until_stale(fleet)
     refused = await fleet.async_call('/added/x')
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_startup_imports.py
@@ -13,7 +13,7 @@
     'hornbeamdeck.cli',
     'hornbeamdeck.demo',
     'hornbeamdeck.explain',
-    'hornbeamdeck.process.front_metrics_page',
+    'hornbeamdeck.process.gateway_metrics_export',
     'hornbeamdeck.process.instance',
     'hornbeamdeck.standin',
 )
@@ -29,5 +29,5 @@
         text=True,
     )
     imported = set(completed.stdout.split())
-    assert 'hornbeamdeck.process.front' in imported
+    assert 'hornbeamdeck.process.gateway' in imported
     assert not imported.intersection(NOT_IMPORTED_AT_STARTUP)
--- a/tests/platform/test_store_faults.py
+++ b/tests/platform/test_store_faults.py
@@ -3,8 +3,8 @@
 from curio import sleep
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.process.attendance import FLEET_CELL
-from hornbeamdeck.process.proofs import REVOCATION_MARGIN_MS
+from hornbeamdeck.process.freshness_guard import REVOCATION_MARGIN_MS
+from hornbeamdeck.process.liveness import FLEET_CELL
 from hornbeamdeck.process.rendezvous import ranking
 from tests.platform.fleet import PlatformFleet, on_platform
 from tests.platform.standins import StoreStandin, document
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -7,9 +7,9 @@
 import pytest
 from result import Err, Ok, Result
 
-from hornbeamdeck.connection.platform import PlatformDown, StoredObject
+from hornbeamdeck.connection.store_client import StoredObject, StoreUnavailable
 from hornbeamdeck.const import KEY_CONFIGURATION
-from hornbeamdeck.process.follower import ConfigurationFollower, DocumentKind
+from hornbeamdeck.process.follower import ConfigurationFollower, DocumentSource
 
 
 class _Document(NamedTuple):
@@ -21,7 +21,7 @@
     """Raised instead of sleeping, to end the loop after one round."""
 
 
-_Fetched = Result[StoredObject | None, PlatformDown]
+_Fetched = Result[StoredObject | None, StoreUnavailable]
 
 
 async def _async_ignore(_document: _Document) -> None:
@@ -43,7 +43,7 @@
     :param peer_version: the version that the peer returns; 0 for none.
     :returns: the version in force afterwards.
     """
-    kind = DocumentKind(
+    kind = DocumentSource(
         empty=_Document(0, ''),
         parse=lambda text, version: Ok(_Document(version, text)),
         fetch=fetch,
@@ -79,7 +79,7 @@
 
     async def _async_fetch() -> _Fetched:
         calls.append('fetch')
-        return Err(PlatformDown('down'))
+        return Err(StoreUnavailable('down'))
 
     version = _follow(monkeypatch, fetch=_async_fetch, peer_version=7)
     assert version == 7
--- a/tests/process/test_front_metrics.py
+++ b/tests/process/test_gateway_metrics.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_metrics_page import make_registry, render
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_metrics_export import make_registry, render
 
 
 def test_recorded_counts_are_exported() -> None:
     """Guards against exported metrics that differ from the recorded counts."""
-    metrics = FrontMetrics()
+    metrics = GatewayMetrics()
     metrics.ended('desk', 0, 'answered', 300)
     metrics.ended('desk', 0, 'answered', 30_000)
     metrics.first_token(120)
--- a/tests/process/test_front_settings.py
+++ b/tests/process/test_gateway_settings.py
@@ -6,12 +6,12 @@
 import pytest
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.process.serve_front import load_front_settings
-from tests.platform.fleet import front_settings
+from hornbeamdeck.process.serve_gateway import load_gateway_settings
+from tests.platform.fleet import make_gateway_settings
 
 
 def test_seconds_become_milliseconds() -> None:
-    settings = front_settings(Address('127.0.0.1', 1))
+    settings = make_gateway_settings(Address('127.0.0.1', 1))
     assert settings.bounds.grace_ms == 3000
     assert settings.bounds.quota_window_ms == 8000
 
@@ -33,6 +33,6 @@
 ) -> None:
     path = tmp_path / 'gateway.json'
     path.write_text(json.dumps({field: raw}))
-    errors = load_front_settings(str(path)).unwrap_err()
+    errors = load_gateway_settings(str(path)).unwrap_err()
     messages = [str(error) for error in errors]
     assert any(f'{path}: {field}' in each for each in messages)
--- a/tests/process/test_beats.py
+++ b/tests/process/test_heartbeats.py
@@ -11,20 +11,20 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.process import (
-    attendance,
-    beat_pace,
-    beats,
+    heartbeat_pace,
+    heartbeats,
+    liveness,
     rendezvous,
-    suspects,
-    told,
+    sent_updates,
+    suspected_instances,
 )
 from hornbeamdeck.process import membership as membership_module
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
 from hornbeamdeck.process.membership import (
-    STATE_LEAVING,
+    STATE_DRAINING,
     STATE_LIVE,
     InstanceStatus,
     Membership,
@@ -71,8 +71,8 @@
         self.outbox = _RecordingPeers()
         self.freshness = Freshness()
         self.activate()
-        self.beats = beats.Beats(
-            beats.BeatParts(
+        self.beats = heartbeats.Heartbeats(
+            heartbeats.HeartbeatDependencies(
                 membership=Membership(_status(name)),
                 peers=cast(Peers, self.outbox),
                 freshness=self.freshness,
@@ -106,7 +106,7 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> _SimulatedTime:
     """Replace the clock of the modules under test."""
     simulated = _SimulatedTime()
-    for module in (attendance, beats, suspects):
+    for module in (liveness, heartbeats, suspected_instances):
         monkeypatch.setattr(module, 'now_ms', simulated.now_ms)
     return simulated
 
@@ -233,9 +233,9 @@
     node = _Node(clock, 'one', 0)
     node.beats._make_heartbeat('peer')
     membership = node.beats._parts.membership
-    membership.own = membership.own._replace(state=STATE_LEAVING)
-    assert STATE_LEAVING in node.beats._make_heartbeat('peer').status
-    clock.true_ms += told.TELL_AGAIN_MS
+    membership.own = membership.own._replace(state=STATE_DRAINING)
+    assert STATE_DRAINING in node.beats._make_heartbeat('peer').status
+    clock.true_ms += sent_updates.STATUS_RESEND_MS
     assert node.beats._make_heartbeat('peer').status
 
 
@@ -302,10 +302,12 @@
     fleet = _large_fleet(clock)
     for node, _ in fleet:
         membership = node.beats._parts.membership
-        for first in membership.ranked('fleet')[: attendance.INFORMED + 1]:
+        for first in membership.ranked('fleet')[
+            : liveness.HEARTBEAT_RECEIVERS + 1
+        ]:
             membership.suspect(first)
         node.beats._targets()
-    clock.true_ms += beat_pace.PROBE_MS + 1
+    clock.true_ms += heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
     probed = Counter(
         target
         for node, _ in fleet
@@ -313,7 +315,7 @@
         if target in node.beats._parts.membership.suspects
     )
     assert sum(probed.values()) == 0
-    assert node.beats._pace.beat_ms > beat_pace.BEAT_MS
+    assert node.beats._pace.beat_ms > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
 
 
 @given(st.integers(1, 2000))
@@ -321,7 +323,7 @@
     """Heartbeats are rarer in a large fleet. With too short a timeout, live
     members would alternate between live and down.
     """
-    pace = beat_pace.BeatPace(lambda: size)
+    pace = heartbeat_pace.HeartbeatPace(lambda: size)
     assert pace.present_ms > 2 * pace.beat_ms
     assert pace.present_ms >= pace.silence_ms
 
@@ -329,10 +331,12 @@
 def test_small_fleet_probes_all_lost_peers_at_once() -> None:
     """Guards against two owners for seconds after a partition has healed."""
     lost = ['a', 'b', 'c', 'd']
-    small = beat_pace.BeatPace(lambda: 13)
-    assert set(small.probes(lost, beat_pace.PROBE_MS + 1)) == set(lost)
-    assert not small.probes(lost, beat_pace.PROBE_MS + 2)
-    large = beat_pace.BeatPace(lambda: FLEET)
+    small = heartbeat_pace.HeartbeatPace(lambda: 13)
+    assert set(
+        small.probes(lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1)
+    ) == set(lost)
+    assert not small.probes(lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2)
+    large = heartbeat_pace.HeartbeatPace(lambda: FLEET)
     assert len(large.probes(lost, 1_000_000)) == 1
 
 
@@ -374,7 +378,7 @@
         return loads(text)
 
     monkeypatch.setattr(json, 'loads', _loads)
-    for text in texts * attendance.INFORMED:
+    for text in texts * liveness.HEARTBEAT_RECEIVERS:
         node.beats._apply_status(text)
     assert len(parsed) <= len(texts)
 
--- a/tests/process/test_lease.py
+++ b/tests/process/test_lease.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.process.lease import Lease, LeaseTerms
-from tests.fakes import DOWN, LOST, FakePlatform
+from tests.fakes import FAULT_DOWN, FAULT_LOST_RESPONSE, FakePlatform
 
 NAMES = ('a', 'b', 'c')
 TERMS = LeaseTerms(duration_ms=1000, margin_ms=100)
@@ -15,7 +15,7 @@
     st.tuples(
         st.sampled_from(NAMES),
         st.sampled_from(('try', 'try', 'try', 'release')),
-        st.sampled_from(('', '', '', LOST, DOWN)),
+        st.sampled_from(('', '', '', FAULT_LOST_RESPONSE, FAULT_DOWN)),
         st.integers(0, 700),
     ),
     max_size=60,
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.platform import ListedInstance, StoredObject
+from hornbeamdeck.connection.store_client import ListedInstance, StoredObject
 from hornbeamdeck.process import membership as module
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.process.rendezvous import owner_of, ranking
--- a/tests/process/test_outages.py
+++ b/tests/process/test_outages.py
@@ -4,10 +4,10 @@
 
 from curio import sleep, spawn
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.process.instance import Instance
-from tests.support import booking_entry, desk_entry, on_fleet
+from tests.support import booking_entry, completion_entry, on_fleet
 
 PLAN = FleetPlan(instances=3, speeds=(1.0,))
 
@@ -36,7 +36,7 @@
     seed = fleet.instances[0].own.peer_address
     late = await fleet.async_add_instance('late', seed_peers=(seed,))
     await _async_until_version(late, 1)
-    record = await async_call(desk_entry(), 1, late.own.address)
+    record = await async_call(completion_entry(), 1, late.own.address)
     assert record.is_whole
     owner = fleet.instances[0].parts.membership.owner_of('desk')
     assert late.parts.membership.owner_of('desk') == owner
@@ -66,7 +66,7 @@
     await _async_until_version(owner, version)
     _set(fleet, is_down=True)
     follower.async_note = real_note  # type: ignore[method-assign]
-    await async_call(desk_entry(), 1, behind.own.address)
+    await async_call(completion_entry(), 1, behind.own.address)
     await _async_until_version(behind, version)
 
 
@@ -78,7 +78,7 @@
     """
     _set(fleet, is_down=True)
     address = fleet.instances[0].own.address
-    assert (await async_call(desk_entry(), 1, address)).is_whole
+    assert (await async_call(completion_entry(), 1, address)).is_whole
     entry = booking_entry('outage-1', deadline_ms=600)
     refused = await async_call(entry, 2, address)
     assert (refused.status, refused.outcome) == (503, 'not_run')
@@ -123,7 +123,7 @@
     for instance in fleet.instances:
         while not instance.parts.membership.leaving_addresses():
             await sleep(0.02)
-    entry = desk_entry(deadline_ms=400)
+    entry = completion_entry(deadline_ms=400)
     record = await async_call(entry, 1, fleet.instances[0].own.address)
     assert record.outcome == 'not_run'
     assert fleet.engines[0].batch.records.runs == {}
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -2,10 +2,10 @@
 
 from curio import TaskGroup, sleep
 
-from hornbeamdeck.demo.caller import CallRecord, async_call
+from hornbeamdeck.demo.client import CallResult, async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.process.instance import Instance
-from tests.support import desk_entry, on_fleet
+from tests.support import completion_entry, on_fleet
 
 WAITING = 50
 PLAN = FleetPlan(speeds=(1.0,), max_running=2, max_prompt_tokens=512)
@@ -19,7 +19,7 @@
     group: TaskGroup,
     instances: list[Instance],
 ) -> None:
-    entry = desk_entry(deadline_ms=30_000, output_tokens=4)
+    entry = completion_entry(deadline_ms=30_000, output_tokens=4)
     for number in range(WAITING):
         address = instances[number % len(instances)].own.address
         await group.spawn(async_call, entry, number, address)
@@ -32,7 +32,7 @@
 
 def _assert_each_ran_once(
     fleet: Fleet,
-    records: list[CallRecord],
+    records: list[CallResult],
 ) -> None:
     assert len(records) == WAITING
     assert all(record.is_whole for record in records)
@@ -84,7 +84,7 @@
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
-    entry = desk_entry(output_tokens=150)
+    entry = completion_entry(output_tokens=150)
     async with TaskGroup() as group:
         for number in range(PLAN.max_running):
             await group.spawn(async_call, entry, number, others[0].own.address)
@@ -115,7 +115,7 @@
     address = ingress.own.address
     async with TaskGroup() as group:
         for number in range(PLAN.max_running):
-            entry = desk_entry(output_tokens=60)
+            entry = completion_entry(output_tokens=60)
             await group.spawn(async_call, entry, number, address)
         load = owner.parts.scheduler.cells['desk'].loads['engine-0']
         while len(load.runs) < PLAN.max_running:
--- a/tests/process/test_engine_book.py
+++ b/tests/process/test_store_engine_list.py
@@ -1,8 +1,8 @@
 """Tests of the engine list across outages of the store."""
 
-from hornbeamdeck.process.engine_book import OUTAGE_MS, EngineBook
-from hornbeamdeck.process.store_access import EngineChange
-from tests.scheduling.routed import engine
+from hornbeamdeck.process.store_engine_list import OUTAGE_MS, StoreEngineList
+from hornbeamdeck.process.store_interface import EngineChange
+from tests.scheduling.engine_cell_factories import engine
 
 BOTH = (
     EngineChange('e1', engine('e1')),
@@ -11,13 +11,13 @@
 CURRENT = {'e1': engine('e1'), 'e2': engine('e2')}
 
 
-def _usable(registry: EngineBook, now: float) -> set[str]:
+def _usable(registry: StoreEngineList, now: float) -> set[str]:
     return set(registry.usable_engines(now))
 
 
-def _registry() -> EngineBook:
+def _registry() -> StoreEngineList:
     """Return a registry that read both engines long ago."""
-    registry = EngineBook()
+    registry = StoreEngineList()
     registry.apply_list(BOTH, {}, confirmation_age_ms=0, now=0)
     return registry
 
@@ -41,7 +41,7 @@
 
 
 def test_draining_engine_is_not_retained() -> None:
-    registry = EngineBook()
+    registry = StoreEngineList()
     draining = engine('e1', is_leaving=True)
     registry.apply_list(
         [EngineChange('e1', draining)], {}, confirmation_age_ms=0, now=0
@@ -56,7 +56,7 @@
     """An instance starts to read the store itself right after an outage. It
     received its engines from a peer; the expired list must not remove them.
     """
-    registry = EngineBook()
+    registry = StoreEngineList()
     current = {'e1': engine('e1')}
     registry.apply_list((), current, confirmation_age_ms=9000, now=10_000)
     assert _usable(registry, 10_100) == {'e1'}
--- a/tests/process/test_store_reader.py
+++ b/tests/process/test_store_reader.py
@@ -7,14 +7,17 @@
 import pytest
 from result import Ok
 
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.store_access import ConfigurationRead, StoreAccess
+from hornbeamdeck.process.store_interface import (
+    ConfigurationRead,
+    StoreInterface,
+)
 from hornbeamdeck.process.store_reader import (
     CONFIGURATION_MAX_AGE_MS,
-    ReaderParts,
     StoreReader,
+    StoreReaderDependencies,
 )
 
 SLEEP = 'hornbeamdeck.process.store_reader.sleep'
@@ -26,8 +29,8 @@
 
 def _reader(*, rank: int, is_owner: bool, is_owner_lost: bool) -> StoreReader:
     return StoreReader(
-        ReaderParts(
-            access=cast(StoreAccess, None),
+        StoreReaderDependencies(
+            access=cast(StoreInterface, None),
             freshness=Freshness(),
             directory=EngineDirectory(),
             rank=lambda: rank,
@@ -97,7 +100,7 @@
 
     reader = _reader(rank=3, is_owner=False, is_owner_lost=False)
     access = SimpleNamespace(read_configuration=_async_read)
-    reader._parts = reader._parts._replace(access=cast(StoreAccess, access))
+    reader._parts = reader._parts._replace(access=cast(StoreInterface, access))
     monkeypatch.setattr(SLEEP, _async_sleep)
     with pytest.raises(_SleepReached):
         curio.run(reader.async_follow_configuration)
--- a/tests/request/test_bad_input.py
+++ b/tests/request/test_bad_input.py
@@ -8,9 +8,14 @@
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.http import HttpRequest
 from hornbeamdeck.const import HEADER_OUTCOME, HEADER_TIER
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from tests.support import GUIDES_KEY, async_fetch, desk_entry, on_fleet
+from tests.support import (
+    GUIDES_AUTHORIZATION,
+    async_fetch,
+    completion_entry,
+    on_fleet,
+)
 
 ONE = FleetPlan(instances=1, speeds=(1.0,))
 GOOD = {'model': 'desk', 'messages': [{'role': 'user', 'content': 'cap?'}]}
@@ -23,7 +28,7 @@
         'POST',
         '/v1/chat/completions',
         '',
-        {'authorization': GUIDES_KEY, **named},
+        {'authorization': GUIDES_AUTHORIZATION, **named},
         body,
     )
 
@@ -141,7 +146,7 @@
     assert b' 413 ' in await _async_send_raw(address, large)
     cut = head + b'content-length: 9\r\n\r\n{'
     assert b' 400 ' in await _async_send_raw(address, cut)
-    assert (await async_call(desk_entry(), 1, address)).is_whole
+    assert (await async_call(completion_entry(), 1, address)).is_whole
 
 
 @pytest.mark.parametrize(
@@ -158,6 +163,6 @@
     async def _scenario(fleet: Fleet) -> None:
         own = fleet.instances[0].own
         await _async_send_raw(own.peer_address, sent)
-        assert (await async_call(desk_entry(), 1, own.address)).is_whole
+        assert (await async_call(completion_entry(), 1, own.address)).is_whole
 
     _scenario()
--- a/tests/request/test_claim.py
+++ b/tests/request/test_claim.py
@@ -18,9 +18,9 @@
 from hornbeamdeck.request import claim as claim_module
 from hornbeamdeck.request.claim import Claims
 from hornbeamdeck.request.claim_record import ClaimCall
-from hornbeamdeck.request.once import Once, Recorded
+from hornbeamdeck.request.execution_right import Once, Recorded
 from hornbeamdeck.request.outcome import Outcome
-from tests.fakes import DOWN, LOST, FakePlatform
+from tests.fakes import FAULT_DOWN, FAULT_LOST_RESPONSE, FakePlatform
 
 KEY = 'claims/counter/families/huelgoat'
 BOOKING_BODY = b'receipt'
@@ -45,14 +45,14 @@
         self.not_run_responses = 0
         self.replayed_responses = 0
 
-    @rule(fault=st.sampled_from(('', '', LOST, DOWN)))
+    @rule(fault=st.sampled_from(('', '', FAULT_LOST_RESPONSE, FAULT_DOWN)))
     def change_store_fault(self, fault: str) -> None:
         """Make the store fail, or work again."""
         self.platform.fault = fault
 
     @rule(
         other=st.booleans(),
-        fault=st.sampled_from((LOST, DOWN)),
+        fault=st.sampled_from((FAULT_LOST_RESPONSE, FAULT_DOWN)),
         calls=st.sampled_from((0, 0, 1, 3, 4)),
     )
     def send(self, other: bool, fault: str, calls: int) -> None:
--- a/tests/request/test_event_feed.py
+++ b/tests/request/test_event_parser.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.request.event_feed import EventFeed
+from hornbeamdeck.request.event_parser import EventParser
 
 STREAM = b''.join(
     f'id: {number}\ndata: w\n\n'.encode() for number in range(1, 6)
@@ -14,7 +14,7 @@
 def test_any_split_into_pieces_yields_the_same_events(
     splits: list[int],
 ) -> None:
-    feed = EventFeed()
+    feed = EventParser()
     events = []
     start = 0
     ends = [*sorted(splits), len(STREAM)]
@@ -30,17 +30,17 @@
     """Guards against relaying a partial event of an engine that fails. It would
     be joined to the first event of the engine that continues the stream.
     """
-    feed = EventFeed()
+    feed = EventParser()
     assert len(feed.feed(STREAM[:-3])) == 4
     assert feed.has_partial_event
 
 
 def test_all_line_endings_terminate_events() -> None:
     for end in (b'\n', b'\r\n', b'\r'):
-        feed = EventFeed()
+        feed = EventParser()
         events = feed.feed(b'id: 4' + end + b'data: x' + end + end)
         assert len(events) == 1
 
 
 def test_events_without_an_id_have_an_empty_name() -> None:
-    assert EventFeed().feed(b'data: id: 3\n\n')[0].name == ''
+    assert EventParser().feed(b'data: id: 3\n\n')[0].name == ''
--- a/tests/request/test_planned_stop.py
+++ b/tests/request/test_graceful_shutdown.py
@@ -3,9 +3,12 @@
 import math
 from typing import Any, cast
 
-from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_edge import Edge, _would_be_cut_off
-from hornbeamdeck.version.routed import Route, RouteKind, ServiceShare
+from hornbeamdeck.request.gateway_admission import GatewayAdmission
+from hornbeamdeck.request.gateway_handler import (
+    GatewayContext,
+    _would_be_cut_off,
+)
+from hornbeamdeck.version.gateway import Route, RouteKind, ServiceShare
 
 ROUTE = Route(
     name='r',
@@ -24,8 +27,8 @@
 
 
 def _is_started(share: float, kind: RouteKind) -> bool:
-    edge = cast(Edge, _EdgeInShutdown(share))
-    admission = RoutedAdmission(
+    edge = cast(GatewayContext, _EdgeInShutdown(share))
+    admission = GatewayAdmission(
         ask=cast(Any, None),
         route=ROUTE._replace(kind=kind),
         service='desk',
--- a/tests/request/test_issued_key.py
+++ b/tests/request/test_issued_key.py
@@ -7,11 +7,15 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.demo.caller import async_call
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.client import async_call
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.process.instance import Instance
-from hornbeamdeck.request.issued_key import is_issued, issue_key, read_key
+from hornbeamdeck.request.issued_key import (
+    is_issued,
+    issue_key,
+    verify_issued_key,
+)
 from tests.support import async_fetch, booking_entry, on_fleet
 
 PLAN = FleetPlan(instances=3, speeds=(1.0,))
@@ -29,12 +33,14 @@
 
 
 def test_issued_key_is_decoded() -> None:
-    decoded = read_key(_issue(), team='families', secret=SECRET).unwrap()
+    decoded = verify_issued_key(
+        _issue(), team='families', secret=SECRET
+    ).unwrap()
     assert (decoded.instance_id, decoded.incarnation) == ('i', 'x')
 
 
 def test_key_of_another_team_is_refused() -> None:
-    assert read_key(_issue(), team='sales', secret=SECRET).is_err()
+    assert verify_issued_key(_issue(), team='sales', secret=SECRET).is_err()
 
 
 @given(st.integers(0, 400), st.characters(codec='utf-8'))
@@ -47,7 +53,9 @@
     position %= len(key)
     changed = key[:position] + letter + key[position + 1 :]
     if changed != key and is_issued(changed):
-        assert read_key(changed, team='families', secret=SECRET).is_err()
+        assert verify_issued_key(
+            changed, team='families', secret=SECRET
+        ).is_err()
 
 
 async def _async_request_key(instance: Instance) -> str:
--- a/tests/request/test_stock_client.py
+++ b/tests/request/test_openai_client.py
@@ -5,9 +5,9 @@
 import curio
 import openai
 
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.standin.engine import expected_answer
+from hornbeamdeck.standin.engine import expected_response
 
 PROMPT = 'is this a death cap?'
 TOKENS = 12
@@ -68,7 +68,7 @@
     server = threading.Thread(target=curio.run, args=(_async_serve,))
     server.start()
     ready.wait()
-    expected = expected_answer(PROMPT, TOKENS)
+    expected = expected_response(PROMPT, TOKENS)
     try:
         client = _client(addresses[0])
         assert _complete_chat(client) == expected
--- a/tests/scheduling/routed.py
+++ b/tests/scheduling/engine_cell_factories.py
@@ -2,7 +2,7 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.process.engine_directory import Engine
-from hornbeamdeck.scheduling.cell_door import Shared
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import (
@@ -10,11 +10,11 @@
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import EngineTraits, RoutedTeam
+from hornbeamdeck.version.gateway import EngineProperties, GatewayTeam
 from hornbeamdeck.wire import Enqueue, Message
 
-MODEL = EngineTraits(slots=4, tokens_per_event=6, memory_tokens=600_000)
-PLAIN = EngineTraits(slots=0, tokens_per_event=0, memory_tokens=0)
+MODEL = EngineProperties(slots=4, tokens_per_event=6, memory_tokens=600_000)
+PLAIN = EngineProperties(slots=0, tokens_per_event=0, memory_tokens=0)
 
 
 async def async_discard(_message: Message) -> None:
@@ -39,9 +39,9 @@
 
 def make_team(
     name: str = 'guides', *, rate: float = 1000, burst: float = 1000
-) -> RoutedTeam:
+) -> GatewayTeam:
     """Create a team with a token limit."""
-    return RoutedTeam(
+    return GatewayTeam(
         name=name,
         priority=None,
         rate_per_s=rate,
@@ -70,10 +70,10 @@
     )
 
 
-def make_cell(*engines: Engine, traits: EngineTraits = MODEL) -> EngineCell:
+def make_cell(*engines: Engine, traits: EngineProperties = MODEL) -> EngineCell:
     """Create a cell with engines and without team limits."""
     made = EngineCell(
-        Shared(quotas=make_quotas(), teams={}),
+        SharedState(quotas=make_quotas(), teams={}),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
     made.adopt(engines, traits, {})
--- a/tests/scheduling/test_engine_cell.py
+++ b/tests/scheduling/test_engine_cell.py
@@ -4,13 +4,13 @@
 
 import pytest
 
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.cell import Refused
-from hornbeamdeck.scheduling.cell_door import Shared
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
-from hornbeamdeck.scheduling.waiting_room import WaitQueue
+from hornbeamdeck.scheduling.wait_queue import WaitQueue
 from hornbeamdeck.wire import Progress, RefusalReason, Register, Release, RunEnd
-from tests.scheduling.routed import (
+from tests.scheduling.engine_cell_factories import (
     MODEL,
     PLAIN,
     engine,
@@ -463,7 +463,7 @@
     """Create a cell whose owner has no record of earlier spending."""
     limits = make_quotas(is_remembered=False, is_first_start=False)
     made = EngineCell(
-        Shared(
+        SharedState(
             quotas=limits,
             teams={'guides': make_team(rate=60_000, burst=60_000)},
         ),
--- a/tests/scheduling/test_engine_cell_states.py
+++ b/tests/scheduling/test_engine_cell_states.py
@@ -5,7 +5,7 @@
 
 from hornbeamdeck.scheduling.cell import Refused
 from hornbeamdeck.wire import Release, RunEnd
-from tests.scheduling.routed import (
+from tests.scheduling.engine_cell_factories import (
     MODEL,
     async_discard,
     engine,
--- a/tests/scheduling/test_engine_choice.py
+++ b/tests/scheduling/test_engine_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hornbeamdeck.scheduling import engine_choice
-from tests.scheduling.routed import (
+from tests.scheduling.engine_cell_factories import (
     engine,
     enqueue,
     granted,
--- a/tests/scheduling/test_crash_watch.py
+++ b/tests/scheduling/test_engine_crash_tracker.py
@@ -1,14 +1,14 @@
 """Attribution of engine crashes to requests."""
 
-from hornbeamdeck.scheduling.crash_watch import (
+from hornbeamdeck.scheduling.engine_crash_tracker import (
     POISON_CRASHES,
     SAME_CRASH_MS,
-    CrashWatch,
+    EngineCrashTracker,
 )
 
 
 def test_only_runs_that_failed_with_the_engine_are_suspected() -> None:
-    watch = CrashWatch()
+    watch = EngineCrashTracker()
     watch.record_failed_run('e1', 'long-ago', 0)
     watch.record_failed_run('e1', 'beside', 9000)
     watch.record_failed_run('e2', 'elsewhere', 9000)
@@ -23,7 +23,7 @@
     requests that ran on the engine would be refused as if they had crashed ten
     engines.
     """
-    watch = CrashWatch()
+    watch = EngineCrashTracker()
     watch.record_failed_run('e1', 'beside', 0)
     for moment in range(10):
         watch.record_crash('e1', moment)
@@ -35,7 +35,7 @@
     request that caused them would crash three more engines under each next
     owner.
     """
-    watch = CrashWatch()
+    watch = EngineCrashTracker()
     watch.note('bad', 2, 0)
     watch.note('bad', 1, 10)
     assert watch.crashes('bad', 20) == 2
@@ -46,7 +46,7 @@
 
 
 def test_an_answered_request_is_cleared() -> None:
-    watch = CrashWatch()
+    watch = EngineCrashTracker()
     watch.note('good', 2, 0)
     watch.record_answer('good')
     assert not watch.crashes('good', 10)
--- a/tests/scheduling/test_pause_estimate.py
+++ b/tests/scheduling/test_gap_estimate.py
@@ -1,6 +1,6 @@
 """Estimate of the gaps that a prefill causes in other streams."""
 
-from hornbeamdeck.scheduling.pause_estimate import GapEstimate, prefill_ms
+from hornbeamdeck.scheduling.gap_estimate import GapEstimate, prefill_ms
 
 PER_EVENT = 5
 LONG_MS = prefill_ms(60_000)
--- a/tests/scheduling/test_load_replay.py
+++ b/tests/scheduling/test_load_replay.py
@@ -6,8 +6,8 @@
 from bench.replay_load import LoadPlan
 from hornbeamdeck.scheduling import engine_choice
 from hornbeamdeck.scheduling.engine_load import EngineLoad
-from hornbeamdeck.scheduling.ticket import Ticket
-from hornbeamdeck.scheduling.waiting_room import WaitQueue
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
+from hornbeamdeck.scheduling.wait_queue import WaitQueue
 
 LOAD = LoadPlan.from_name('bursts_and_losses')
 SEED = 1
@@ -95,7 +95,7 @@
     checked: list[str] = []
     is_eligible = engine_choice._is_eligible
 
-    def _count(load: EngineLoad, ticket: Ticket, now: float) -> bool:
+    def _count(load: EngineLoad, ticket: QueuedRequest, now: float) -> bool:
         checked.append(load.engine.name)
         return is_eligible(load, ticket, now)
 
--- a/tests/scheduling/test_estimate.py
+++ b/tests/scheduling/test_speed_estimate.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.scheduling.estimate import LinearFit, SpeedEstimate
+from hornbeamdeck.scheduling.speed_estimate import LinearFit, SpeedEstimate
 
 LENGTHS = st.lists(
     st.integers(1, 5000),
--- a/tests/scheduling/test_tier_queue.py
+++ b/tests/scheduling/test_tier_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.scheduling.ticket import Ticket
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
 from hornbeamdeck.scheduling.tier_queue import TierQueue
 from hornbeamdeck.wire import Enqueue, Message
 
@@ -16,7 +16,9 @@
     """Discard a message."""
 
 
-def ticket(name: str, team: str, tokens: int, deadline_ms: float) -> Ticket:
+def ticket(
+    name: str, team: str, tokens: int, deadline_ms: float
+) -> QueuedRequest:
     """Create a ticket."""
     request = Enqueue(
         request_id=name,
@@ -28,7 +30,7 @@
         output_tokens=0,
         fingerprint=name,
     )
-    return Ticket(request, 'sender', _async_discard, deadline_ms, tokens)
+    return QueuedRequest(request, 'sender', _async_discard, deadline_ms, tokens)
 
 
 STEPS = st.lists(
@@ -48,7 +50,7 @@
 @given(STEPS)
 def test_no_request_is_lost_or_served_twice(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     queue = TierQueue()
-    waiting: dict[str, Ticket] = {}
+    waiting: dict[str, QueuedRequest] = {}
     for number, step in enumerate(steps):
         if step[0] == 'push':
             pushed = ticket(f'r{number}', *step[1:])
@@ -63,7 +65,7 @@
         assert abs(queue.service_ms - expected) < 0.001
 
 
-def _remove_one(queue: TierQueue, action: str) -> Ticket:
+def _remove_one(queue: TierQueue, action: str) -> QueuedRequest:
     if action == 'displace':
         newest = queue.newest_of_largest_team()
         return queue.remove(newest.request.request_id)
--- a/tests/scheduling/test_token_quota.py
+++ b/tests/scheduling/test_token_quota.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.scheduling.token_quota import Need
-from tests.scheduling.routed import make_quotas, make_team
+from hornbeamdeck.scheduling.token_quota import TokenNeed
+from tests.scheduling.engine_cell_factories import make_quotas, make_team
 
 SPENDINGS = st.lists(
     st.tuples(st.integers(0, 2000), st.integers(1, 6000)),
@@ -46,7 +46,7 @@
     so nothing is charged to the team's limit.
     """
     limits = make_quotas()
-    need = Need(1000, 0, 500)
+    need = TokenNeed(1000, 0, 500)
     limits.add_waiting('guides', need)
     limits.remove_waiting('guides', need)
     assert limits.spend(make_team(), 1000, 0)
@@ -56,7 +56,7 @@
     limits = make_quotas()
     limits.spend(make_team(), 1000, 0)
     assert not limits.spend(make_team(), 500, 100)
-    wait_ms = limits.retry_after_ms(make_team(), Need(500, 0))
+    wait_ms = limits.retry_after_ms(make_team(), TokenNeed(500, 0))
     assert not limits.spend(make_team(), 500, 100 + wait_ms - 10)
     assert limits.spend(make_team(), 500, 100 + wait_ms)
 
@@ -117,16 +117,16 @@
     """
     limits = make_quotas()
     assert limits.spend(make_team(), 1000, 0)
-    assert limits.may_wait(make_team(), Need(100, 0, 200), 0)
-    assert not limits.may_wait(make_team(), Need(300, 0, 200), 0)
+    assert limits.may_wait(make_team(), TokenNeed(100, 0, 200), 0)
+    assert not limits.may_wait(make_team(), TokenNeed(300, 0, 200), 0)
 
 
 def test_waiting_requests_count_for_the_next_one() -> None:
     limits = make_quotas()
     assert limits.spend(make_team(), 1000, 0)
-    limits.add_waiting('guides', Need(150, 1))
-    assert not limits.may_wait(make_team(), Need(100, 1, 200), 0)
-    assert limits.may_wait(make_team(), Need(100, 0, 200), 0)
+    limits.add_waiting('guides', TokenNeed(150, 1))
+    assert not limits.may_wait(make_team(), TokenNeed(100, 1, 200), 0)
+    assert limits.may_wait(make_team(), TokenNeed(100, 0, 200), 0)
 
 
 def test_a_booking_passes_long_prompts_that_wait_for_tokens() -> None:
@@ -135,6 +135,6 @@
     """
     limits = make_quotas()
     assert limits.spend(make_team(), 800, 0)
-    limits.add_waiting('guides', Need(5000, 0))
-    assert limits.may_wait(make_team(), Need(100, 2, 40), 0)
+    limits.add_waiting('guides', TokenNeed(5000, 0))
+    assert limits.may_wait(make_team(), TokenNeed(100, 2, 40), 0)
     assert limits.spend(make_team(), 100, 0)
--- a/tests/scheduling/test_suspicion.py
+++ b/tests/scheduling/test_upstream_crash_tracker.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.demo.caller import CallRecord, async_call
+from hornbeamdeck.demo.client import CallResult, async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.scheduling.suspicion import Suspicions
+from hornbeamdeck.scheduling.upstream_crash_tracker import UpstreamCrashTracker
 from hornbeamdeck.wire import RunEnd
 from tests.scheduling.test_cell import (
     end_run,
@@ -14,7 +14,7 @@
     make_cell,
     make_request,
 )
-from tests.support import desk_entry, on_fleet
+from tests.support import completion_entry, on_fleet
 
 Crash = tuple[int, set[int]]
 
@@ -34,7 +34,7 @@
     poison request when upstreams fail, only a request that was the sole suspect
     at a second crash is refused.
     """
-    suspicions = Suspicions()
+    suspicions = UpstreamCrashTracker()
     now = 0.0
     for upstream, others in crashes:
         now += 10_000
@@ -76,10 +76,10 @@
     assert len(granted_ids(cell)) == 1
 
 
-async def _async_send(fleet: Fleet, number: int) -> CallRecord:
+async def _async_send(fleet: Fleet, number: int) -> CallResult:
     """Send the same prompt again, each time to another instance."""
     instance = fleet.instances[number % len(fleet.instances)]
-    entry = desk_entry(team=POISON, deadline_ms=3000)
+    entry = completion_entry(team=POISON, deadline_ms=3000)
     return await async_call(
         entry._replace(team='guides'),
         0,
@@ -111,7 +111,9 @@
     assert {each.outcome for each in records[:2]} == {'unknown'}
     assert {each.outcome for each in records[2:]} == {'not_run'}
     assert {each.status for each in records[2:]} == {422}
-    other = await async_call(desk_entry(), 5, fleet.instances[0].own.address)
+    other = await async_call(
+        completion_entry(), 5, fleet.instances[0].own.address
+    )
     assert other.is_whole
 
 
--- a/tests/scheduling/test_waiting_room.py
+++ b/tests/scheduling/test_wait_queue.py
@@ -1,10 +1,10 @@
 """Order of the wait queue and use of expected waits."""
 
 from hornbeamdeck.scheduling.forecast import Forecast
-from hornbeamdeck.scheduling.ticket import Ticket
-from hornbeamdeck.scheduling.waiting_room import WaitQueue
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
+from hornbeamdeck.scheduling.wait_queue import WaitQueue
 from hornbeamdeck.wire import Enqueue
-from tests.scheduling.routed import async_discard, make_request
+from tests.scheduling.engine_cell_factories import async_discard, make_request
 
 
 def _forecast(queue: WaitQueue) -> Forecast:
@@ -13,7 +13,7 @@
 
 
 def _push(queue: WaitQueue, request: Enqueue, now: float = 0) -> None:
-    ticket = Ticket(
+    ticket = QueuedRequest(
         request=request,
         sender='s',
         deliver=async_discard,
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -5,18 +5,22 @@
 import curio
 import pytest
 
-from hornbeamdeck.standin import cache as cache_module
-from hornbeamdeck.standin.batch import Batch, EngineModel, Sequence
-from hornbeamdeck.standin.cache import BLOCK_CHARS, EVENT_LAG_MS, PrefixCache
+from hornbeamdeck.standin import prefix_cache as cache_module
+from hornbeamdeck.standin.batch import Batch, EngineTiming, Sequence
+from hornbeamdeck.standin.prefix_cache import (
+    BLOCK_CHARS,
+    EVENT_LAG_MS,
+    PrefixCache,
+)
 
 
 def test_common_prefix_is_cached_until_evicted() -> None:
-    cache = PrefixCache(max_blocks=4)
+    prefix_cache = PrefixCache(max_blocks=4)
     common = 'a' * BLOCK_CHARS * 2
-    assert cache.store_prompt(f'{common}x') == 0
-    assert cache.store_prompt(f'{common}y') == BLOCK_CHARS * 2
-    cache.store_prompt('b' * BLOCK_CHARS * 8)
-    assert cache.store_prompt(f'{common}z') == 0
+    assert prefix_cache.store_prompt(f'{common}x') == 0
+    assert prefix_cache.store_prompt(f'{common}y') == BLOCK_CHARS * 2
+    prefix_cache.store_prompt('b' * BLOCK_CHARS * 8)
+    assert prefix_cache.store_prompt(f'{common}z') == 0
 
 
 def test_cache_events_are_late_and_have_gaps() -> None:
@@ -26,11 +30,11 @@
     """
     clock = [0.0]
     with mock.patch.object(cache_module, 'now_ms', lambda: clock[0]):
-        cache = PrefixCache(max_blocks=100)
-        cache.store_prompt('c' * BLOCK_CHARS * 30)
-        assert cache.events(0) == []
+        prefix_cache = PrefixCache(max_blocks=100)
+        prefix_cache.store_prompt('c' * BLOCK_CHARS * 30)
+        assert prefix_cache.events(0) == []
         clock[0] = EVENT_LAG_MS
-        numbers = [event.sequence for event in cache.events(0)]
+        numbers = [event.sequence for event in prefix_cache.events(0)]
     assert numbers == sorted(numbers)
     assert len(numbers) < numbers[-1]
 
@@ -47,7 +51,7 @@
         durations_s.append(seconds)
 
     async def _async_steps() -> None:
-        batch = Batch(EngineModel(speed=speed))
+        batch = Batch(EngineTiming(speed=speed))
         with mock.patch(
             'hornbeamdeck.standin.batch.sleep', _async_record_sleep
         ):
--- a/tests/support.py
+++ b/tests/support.py
@@ -7,14 +7,14 @@
 import curio
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.demo.trace import TraceEntry
 
 CONNECT_TIMEOUT_MS: Final = 2000
-GUIDES_KEY: Final = f'Bearer {team_key("guides")}'
+GUIDES_AUTHORIZATION: Final = f'Bearer {team_key("guides")}'
 
 Scenario = Callable[[Fleet], Awaitable[None]]
 
@@ -54,7 +54,7 @@
 
 async def async_fetch(address: Address, request: HttpRequest) -> HttpResponse:
     """Send a request on a new connection and return the response."""
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         request,
         timeout_ms=CONNECT_TIMEOUT_MS,
@@ -62,7 +62,7 @@
     return response.unwrap()
 
 
-def desk_entry(**changes: Any) -> TraceEntry:
+def completion_entry(**changes: Any) -> TraceEntry:
     """Build a trace entry for the model service.
 
     :param changes: fields that replace the defaults.
--- a/tests/test_whole_path.py
+++ b/tests/test_end_to_end.py
@@ -2,22 +2,24 @@
 
 from curio import TaskGroup
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from tests.support import booking_entry, desk_entry, on_fleet
+from tests.support import booking_entry, completion_entry, on_fleet
 
 
 @on_fleet(FleetPlan())
 async def test_every_instance_streams_complete_response(fleet: Fleet) -> None:
     for number, instance in enumerate(fleet.instances):
-        record = await async_call(desk_entry(), number, instance.own.address)
+        record = await async_call(
+            completion_entry(), number, instance.own.address
+        )
         assert record.is_whole
         assert record.outcome == 'ran'
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
 async def test_complete_response_without_stream(fleet: Fleet) -> None:
-    entry = desk_entry(is_stream=False)
+    entry = completion_entry(is_stream=False)
     record = await async_call(entry, 1, fleet.instances[1].own.address)
     assert record.is_whole
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -9,9 +9,9 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from hornbeamdeck.demo.caller import CallRecord
+from hornbeamdeck.demo.client import CallResult
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.demo.replay import async_replay
+from hornbeamdeck.demo.replay import async_replay_trace
 from hornbeamdeck.demo.trace import TraceEntry
 
 scenarios('features/outcomes.feature')
@@ -23,7 +23,7 @@
 class ReplayResult(NamedTuple):
     """Results of a replay and counters of the stand-ins."""
 
-    records: list[CallRecord]
+    records: list[CallResult]
     runs: Counter[str]
     bookings: dict[str, int]
     peak_running: int
@@ -42,10 +42,10 @@
 ) -> ReplayResult:
     fleet = await Fleet.async_start(plan)
     fleet.platform.switches = fleet.platform.switches._replace(**switches)
-    records: list[CallRecord] = []
+    records: list[CallResult] = []
     addresses = [each.own.address for each in fleet.instances]
     replay = await curio.spawn(
-        async_replay,
+        async_replay_trace,
         _load_trace(name),
         addresses,
         records.append,
--- a/tests/test_pages.py
+++ b/tests/test_metrics_documentation.py
@@ -4,12 +4,12 @@
 
 from prometheus_client import CollectorRegistry
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_metrics_page import make_registry
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_metrics_export import make_registry
 from hornbeamdeck.process.metrics import Metrics
-from tests.support import booking_entry, desk_entry, on_fleet
+from tests.support import booking_entry, completion_entry, on_fleet
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -29,7 +29,7 @@
         for line in page.splitlines()
         if line.startswith('| `')
     }
-    front = make_registry(FrontMetrics())
+    front = make_registry(GatewayMetrics())
     assert listed == _metric_names(Metrics().registry) | _metric_names(front)
 
 
@@ -39,14 +39,14 @@
     from it that there is no problem.
     """
     for number, instance in enumerate(fleet.instances):
-        await async_call(desk_entry(), number, instance.own.address)
+        await async_call(completion_entry(), number, instance.own.address)
         await async_call(
             booking_entry(f'key-{number}'),
             number,
             instance.own.address,
         )
         await async_call(
-            desk_entry(service='oak'),
+            completion_entry(service='oak'),
             number,
             instance.own.address,
         )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,12 +8,14 @@
 
 import curio
 
-from bench.processes import Plan, ask, process_fleet
-from hornbeamdeck.demo.caller import CallRecord
-from hornbeamdeck.demo.replay import async_replay
-from tests.support import desk_entry
+from bench.processes import ProcessFleetPlan, fetch_json, process_fleet
+from hornbeamdeck.demo.client import CallResult
+from hornbeamdeck.demo.replay import async_replay_trace
+from tests.support import completion_entry
 
-ONE_ENGINE = Plan(speeds=(1.0,), max_running=2, max_prompt_tokens=512)
+ONE_ENGINE = ProcessFleetPlan(
+    speeds=(1.0,), max_running=2, max_prompt_tokens=512
+)
 WAITING_REQUESTS = 50
 
 
@@ -24,17 +26,17 @@
     instances. All fifty callers get their responses, and the engine counts one
     run for each request.
     """
-    records: list[CallRecord] = []
+    records: list[CallResult] = []
     with process_fleet(ONE_ENGINE) as fleet:
         owner = fleet.instances[fleet.owner_of('desk')]
         addresses = [
             each.address for each in fleet.instances if each is not owner
         ]
-        entry = desk_entry(deadline_ms=30_000, output_tokens=4)
+        entry = completion_entry(deadline_ms=30_000, output_tokens=4)
 
         async def _async_scenario() -> None:
             replay = await curio.spawn(
-                async_replay,
+                async_replay_trace,
                 [entry] * WAITING_REQUESTS,
                 addresses,
                 records.append,
@@ -45,7 +47,7 @@
             await replay.join()
 
         curio.run(_async_scenario)
-        runs = ask(fleet.engines[0].address, '/standin/records')['runs']
+        runs = fetch_json(fleet.engines[0].address, '/standin/records')['runs']
     assert [record.is_whole for record in records] == [True] * WAITING_REQUESTS
     assert sorted(runs) == sorted(record.request_id for record in records)
     assert set(runs.values()) == {1}
@@ -55,15 +57,15 @@
     """An instance that is replaced while it serves twenty callers finishes all
     their requests and exits with code 0.
     """
-    records: list[CallRecord] = []
+    records: list[CallResult] = []
     plan = ONE_ENGINE._replace(instances=2)
     with process_fleet(plan) as fleet:
         draining = fleet.instances[0]
-        entry = desk_entry(deadline_ms=30_000, output_tokens=30)
+        entry = completion_entry(deadline_ms=30_000, output_tokens=30)
 
         async def _async_scenario() -> None:
             replay = await curio.spawn(
-                async_replay,
+                async_replay_trace,
                 [entry] * 20,
                 [draining.address],
                 records.append,
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -9,9 +9,9 @@
     Enqueue,
     Release,
     RunEnd,
-    body_of,
     decode_frame,
     encode_frame,
+    message_of,
 )
 from hornbeamdeck.wire.codec import LENGTH
 
@@ -35,7 +35,7 @@
     )
     frame = encode_frame(sent, configuration_version=version)
     envelope = decode_frame(frame[LENGTH.size :]).unwrap()
-    assert body_of(envelope) == sent
+    assert message_of(envelope) == sent
     assert envelope.configuration_version == version
 
 
@@ -65,7 +65,7 @@
     cut = drawn.draw(st.integers(0, len(frame)))
     decoded = decode_frame(bytes(frame[:cut]))
     if decoded.is_ok():
-        body_of(decoded.unwrap()).validate()
+        message_of(decoded.unwrap()).validate()
 
 
 def test_length_field_is_four_bytes() -> None:
