--- a/bench/ablated_instance.py
+++ b/bench/ablated_instance.py
@@ -40,14 +40,14 @@
     """Never treat a request as the cause of a crash."""
     _patch(
         upstream_crash_tracker.UpstreamCrashTracker,
-        'is_culprit',
+        'is_confirmed_poison',
         lambda *_args: False,
     )
 
 
 def _without_leaving() -> None:
     """Ignore which engines the platform lists as draining."""
-    _patch(scheduler.Scheduler, 'note_leaving', lambda *_args: None)
+    _patch(scheduler.Scheduler, 'update_draining', lambda *_args: None)
 
 
 def _without_drain() -> None:
@@ -112,12 +112,12 @@
 def _without_end_mark() -> None:
     """End every stream without an error, even an incomplete one."""
 
-    async def _async_read_piece(self: Any) -> Any:
-        piece = await original_read_piece(self)
+    async def _async_read_chunk(self: Any) -> Any:
+        piece = await original_read_chunk(self)
         return Ok(b'') if isinstance(piece, Err) else piece
 
-    original_read_piece = ClientConnection.async_read_piece
-    _patch(ClientConnection, 'async_read_piece', _async_read_piece)
+    original_read_chunk = ClientConnection.async_read_chunk
+    _patch(ClientConnection, 'async_read_chunk', _async_read_chunk)
     _patch(relay, 'END_MARK', b'')
 
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -104,7 +104,7 @@
     for number in range(1, count):
         status = own._replace(instance_id=f'i{number}', incarnation='y' * 32)
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
-        membership.note_status(StoredObject(key, number, status.to_text()))
+        membership.apply_status(StoredObject(key, number, status.to_text()))
     return membership
 
 
@@ -169,12 +169,14 @@
     )
     parsed = parse_document(json.dumps(raw), version=1).unwrap()
     cell = Cell()
-    cell.adopt(parsed.upstreams_of(CELL), weights={}, top_rank=0)
+    cell.apply_configuration(parsed.upstreams_of(CELL), weights={}, top_rank=0)
     return cell
 
 
 def _offer(cell: Cell, number: int) -> None:
-    cell.offer(_make_request(number), sender='s', deliver=_async_discard, now=0)
+    cell.enqueue(
+        _make_request(number), sender='s', deliver=_async_discard, now=0
+    )
 
 
 def _offer_many(cell: Cell) -> None:
@@ -183,7 +185,7 @@
 
 
 def _grant_waiting(cell: Cell) -> list[str]:
-    return [each.ticket.request.request_id for each in cell.grants(0)]
+    return [each.queued.request.request_id for each in cell.place_waiting(0)]
 
 
 def measure_decisions() -> list[Figures]:
@@ -227,7 +229,7 @@
         )
         _offer(cell, next(new_numbers))
         granted_ids.extend(
-            each.ticket.request.request_id for each in cell.grants(0)
+            each.queued.request.request_id for each in cell.place_waiting(0)
         )
 
     return {
@@ -324,7 +326,7 @@
 async def _async_make_calls(address: Address, entry: Any) -> None:
     for number in range(CALL_COUNT):
         record = await async_call(entry, number, address)
-        assert record.is_whole, record
+        assert record.is_complete, record
 
 
 async def _async_fetch_metrics(address: Address) -> str:
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -112,7 +112,7 @@
 ) -> None:
     for number in range(calls):
         record = await async_call(entry, number, address)
-        assert record.is_whole, record
+        assert record.is_complete, record
 
 
 def _pick_ingress(fleet: ProcessFleet) -> ServerProcess:
@@ -131,7 +131,7 @@
         for address, times in ((engine, direct), (instance, through)):
             begin_ms = now_ms()
             record = await async_call(SHORT_CALL, number, address)
-            assert record.is_whole, record
+            assert record.is_complete, record
             times.append(now_ms() - begin_ms)
     return direct, through
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -130,7 +130,7 @@
     ) -> bool:
         record = await self.async_call(entry, number)
         attempts.append(record)
-        return record.is_whole
+        return record.is_complete
 
 
 def _make_entry(tier: str, deadline_ms: int) -> TraceEntry:
@@ -330,12 +330,12 @@
 ) -> Counts:
     outcome_counts = Counter(record.outcome for record in scenario.records)
     is_answered = [
-        any(record.is_whole for record in sent)
+        any(record.is_complete for record in sent)
         for sent in scenario.records_by_key.values()
     ]
     return Counts(
         requests=len(scenario.records),
-        answered_whole=sum(record.is_whole for record in scenario.records),
+        answered_whole=sum(record.is_complete for record in scenario.records),
         not_run=outcome_counts['not_run'],
         unknown=outcome_counts['unknown'],
         bookings=len(scenario.records_by_key),
@@ -345,7 +345,7 @@
         run_twice=sum(count > 1 for count in booked.values()),
         not_run_that_ran=_count_not_run_that_ran(scenario, runs, booked),
         wrong_or_cut=sum(
-            record.outcome == 'ran' and not record.is_whole
+            record.outcome == 'ran' and not record.is_complete
             for record in scenario.records
         ),
         cut_off_by_stop=scenario.cut_off_by_stop,
--- a/bench/load.py
+++ b/bench/load.py
@@ -90,7 +90,7 @@
     share of a step for each output token.
     """
     model = EngineTiming()
-    step_ms = model.step_ms / model.max_batch + model.step_per_answer_ms
+    step_ms = model.step_ms / model.max_batch_size + model.step_per_sequence_ms
     cost_ms = sum(
         share.weight
         * (
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -63,7 +63,7 @@
     address = instances[(number + 1) % len(instances)].address
     record = await async_call(entry, number, address)
     counts[f'{kind}_asked'] = counts.get(f'{kind}_asked', 0) + 1
-    counts[kind] = counts.get(kind, 0) + record.is_whole
+    counts[kind] = counts.get(kind, 0) + record.is_complete
 
 
 async def _async_book_in_outage(
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -163,7 +163,7 @@
         self._offer(attempt)
 
     def _offer(self, attempt: _Attempt) -> None:
-        refused = self._cell.offer(
+        refused = self._cell.enqueue(
             self._to_enqueue(attempt),
             sender='ingress',
             deliver=_async_discard,
@@ -197,10 +197,10 @@
         )
 
     def _grant(self) -> None:
-        for refused in list(self._cell.expire(self.now)):
+        for refused in list(self._cell.refuse_expired(self.now)):
             self._refuse(refused)
-        for granted in list(self._cell.grants(self.now)):
-            attempt = self._attempts[granted.ticket.request.request_id]
+        for granted in list(self._cell.place_waiting(self.now)):
+            attempt = self._attempts[granted.queued.request.request_id]
             attempt.engine = granted.upstream
             attempt.granted_ms = self.now
             self._schedule(
@@ -312,7 +312,7 @@
         self._grant()
 
     def _refuse(self, refused: Refused) -> None:
-        attempt = self._attempts.pop(refused.ticket.request.request_id)
+        attempt = self._attempts.pop(refused.queued.request.request_id)
         arrival = attempt.arrival
         kind = arrival.kind
         waited_ms = self.now - attempt.arrived_ms
@@ -397,13 +397,13 @@
             Address('127.0.0.1', each + 1),
             'z1',
             plan.slots,
-            is_leaving=False,
+            is_draining=False,
             born_ms=1,
         )
         for each in range(len(plan.slowness))
     ]
     traits = EngineProperties(plan.slots, TOKENS_PER_EVENT, 660_000)
-    cell.adopt(engines, traits, {})
+    cell.update_engines(engines, traits, {})
     return cell
 
 
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -30,7 +30,7 @@
     calls = 0
     while now_ms() < until_ms:
         record = await async_call(SHORT_CALL, calls, address)
-        calls += record.is_whole
+        calls += record.is_complete
     return calls
 
 
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -73,7 +73,7 @@
         return self._address
 
     @property
-    def may_reuse(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request can be sent on this connection.
 
         Bytes received after a complete response belong to no request, so a
@@ -126,7 +126,7 @@
             if not isinstance(event.ok_value, h11.InformationalResponse):
                 return Err(ConnectionBroken('closed before the response head'))
 
-    async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
+    async def async_read_chunk(self) -> Result[bytes, ConnectionBroken]:
         """Read the next piece of the body.
 
         :returns: the bytes, empty at the end of a complete body.
@@ -158,7 +158,7 @@
         """Read the rest of the body."""
         body = bytearray()
         while True:
-            piece = await self.async_read_piece()
+            piece = await self.async_read_chunk()
             if isinstance(piece, Err):
                 return piece
             if not piece.ok_value:
--- a/hornbeamdeck/connection/connection_pool.py
+++ b/hornbeamdeck/connection/connection_pool.py
@@ -52,7 +52,7 @@
         """Count the idle connections."""
         return sum(map(len, self._idle.values()))
 
-    async def async_take(self, engine: str) -> ClientConnection | None:
+    async def async_acquire(self, engine: str) -> ClientConnection | None:
         """Take a usable idle connection to an engine, or `None`."""
         idle = self._idle.get(engine)
         while idle:
@@ -65,7 +65,7 @@
             await last.connection.async_close()
         return None
 
-    async def async_keep(
+    async def async_release(
         self,
         engine: str,
         connection: ClientConnection,
@@ -80,12 +80,12 @@
         await self._async_close_expired()
         idle = self._idle.setdefault(engine, deque())
         max_idle = MAX_IDLE_AT_ENGINE // max(self._count_instances(), 1)
-        if idle_ms <= 0 or len(idle) >= max_idle or not connection.may_reuse:
+        if idle_ms <= 0 or len(idle) >= max_idle or not connection.is_reusable:
             await connection.async_close()
             return
         idle.append(_IdleConnection(connection, now_ms() + idle_ms))
 
-    async def async_drop(self, engine: str) -> None:
+    async def async_close_engine(self, engine: str) -> None:
         """Close all idle connections to an engine after one of them failed."""
         for idle in self._idle.pop(engine, ()):
             await idle.connection.async_close()
--- a/hornbeamdeck/connection/engine_stream.py
+++ b/hornbeamdeck/connection/engine_stream.py
@@ -49,17 +49,17 @@
         self._stream_id = head.headers.get(HEADER_STREAM_ID, '')
         self._received_bytes = 0
 
-    async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
+    async def async_read_chunk(self) -> Result[bytes, ConnectionBroken]:
         """Read the next piece.
 
         :returns: the bytes, empty at the end of a complete stream.
         """
-        piece = await self._connection.async_read_piece()
+        piece = await self._connection.async_read_chunk()
         if isinstance(piece, Err) and self._stream_id:
             resumed = await self._async_resume()
             if isinstance(resumed, Err):
                 return resumed
-            piece = await self._connection.async_read_piece()
+            piece = await self._connection.async_read_chunk()
         if isinstance(piece, Ok):
             self._received_bytes += len(piece.ok_value)
         return piece
--- a/hornbeamdeck/connection/peer.py
+++ b/hornbeamdeck/connection/peer.py
@@ -39,7 +39,7 @@
 class PeerIdentity(NamedTuple):
     """Identity of this process towards its peers.
 
-    :param version: returns the configuration version in force.
+    :param configuration_version: returns the configuration version in force.
     :param count_bytes: called with the direction (`sent` or `received`) and
         the number of bytes.
     :param clock: stamps sent messages and observes the received stamps.
@@ -47,7 +47,7 @@
 
     instance_id: str
     fleet_secret: str
-    version: Callable[[], int]
+    configuration_version: Callable[[], int]
     count_bytes: Callable[[str, int], None]
     clock: HybridClock
 
@@ -110,7 +110,7 @@
         """Queue a message without waiting for the peer."""
         await self._outbox.put(message)
 
-    def take_over(self, outbox: Queue) -> None:
+    def attach_outbox(self, outbox: Queue) -> None:
         """Write from the given queue, which may already hold messages."""
         self._outbox = outbox
 
@@ -168,7 +168,7 @@
     def _encode(self, message: Message) -> bytes:
         return encode_frame(
             message,
-            configuration_version=self._identity.version(),
+            configuration_version=self._identity.configuration_version(),
             clock_us=self._identity.clock.stamp(),
         )
 
--- a/hornbeamdeck/connection/request_loop.py
+++ b/hornbeamdeck/connection/request_loop.py
@@ -41,7 +41,7 @@
             )
             return
         await _async_handle(connection, request.ok_value, handle_request)
-        if not connection.may_reuse:
+        if not connection.is_reusable:
             return
         connection.start_next()
 
@@ -81,5 +81,5 @@
     connection: ServerConnection,
     serving_task: Task,
 ) -> None:
-    await connection.async_wait_closed()
+    await connection.async_wait_disconnected()
     await serving_task.cancel(blocking=False)
--- a/hornbeamdeck/connection/server.py
+++ b/hornbeamdeck/connection/server.py
@@ -47,7 +47,7 @@
         self._reader = RequestReader(sock, self._protocol, read_limits)
 
     @property
-    def may_reuse(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request can be read from this connection."""
         return (
             self._protocol.our_state is h11.DONE
@@ -55,7 +55,7 @@
         )
 
     @property
-    def has_started(self) -> bool:
+    def has_response_started(self) -> bool:
         """Whether a response has begun on this connection."""
         return self._protocol.our_state not in {h11.IDLE, h11.SEND_RESPONSE}
 
@@ -78,7 +78,7 @@
             self._is_head_request = request.ok_value.method == 'HEAD'
         return request
 
-    async def async_wait_closed(self) -> None:
+    async def async_wait_disconnected(self) -> None:
         """Return when the caller has disconnected."""
         await self._reader.async_wait_closed()
 
@@ -96,7 +96,7 @@
         encoded += self._protocol.send(h11.EndOfMessage()) or b''
         return await self._async_write(encoded)
 
-    async def async_start(
+    async def async_start_response(
         self,
         status: int,
         headers: Headers,
@@ -104,19 +104,21 @@
         """Write the head of a response whose body is sent in pieces."""
         return await self._async_write(self._encode_head(status, headers))
 
-    async def async_send(self, piece: bytes) -> Result[None, ConnectionBroken]:
+    async def async_send_chunk(
+        self, piece: bytes
+    ) -> Result[None, ConnectionBroken]:
         """Write a piece of the body."""
         return await self._async_write(
             self._protocol.send(h11.Data(data=piece)) or b'',
         )
 
-    async def async_end(self) -> Result[None, ConnectionBroken]:
+    async def async_end_response(self) -> Result[None, ConnectionBroken]:
         """Write the end of a complete body."""
         return await self._async_write(
             self._protocol.send(h11.EndOfMessage()) or b'',
         )
 
-    def abort(self) -> None:
+    def reset_on_close(self) -> None:
         """Reset the connection when it is closed, to mark the body as cut.
 
         For an HTTP/1.0 caller a body ends when the connection closes, so only
--- a/hornbeamdeck/connection/store_calls.py
+++ b/hornbeamdeck/connection/store_calls.py
@@ -74,7 +74,7 @@
         is_reusable = False
         try:
             response = await connection.ok_value.async_fetch(request)
-            is_reusable = connection.ok_value.may_reuse
+            is_reusable = connection.ok_value.is_reusable
         finally:
             # After a cancelled or failed call the connection is closed: a late
             # response could otherwise be read as that of the next call.
--- a/hornbeamdeck/demo/client.py
+++ b/hornbeamdeck/demo/client.py
@@ -36,7 +36,7 @@
     :param status: HTTP status; 0 if the connection broke or the client timeout
         passed.
     :param code: the `code` header, or why no response was received.
-    :param is_whole: whether the response is exactly the expected one.
+    :param is_complete: whether the response is exactly the expected one.
     :param first_token_ms: milliseconds from the start of the call to the first
         token; 0 if none was received.
     :param total_ms: duration of the call, milliseconds.
@@ -48,7 +48,7 @@
     outcome: str
     code: str
     request_id: str
-    is_whole: bool
+    is_complete: bool
     first_token_ms: float
     total_ms: float
     retry_after_s: int
@@ -56,7 +56,7 @@
     @property
     def is_in_time(self) -> bool:
         """Whether the complete response was received by the deadline."""
-        return self.is_whole and self.total_ms <= self.entry.deadline_ms
+        return self.is_complete and self.total_ms <= self.entry.deadline_ms
 
 
 class _Response(NamedTuple):
@@ -120,7 +120,7 @@
     body = b''
     first_byte_ms = 0.0
     while True:
-        piece = await connection.async_read_piece()
+        piece = await connection.async_read_chunk()
         if isinstance(piece, Err):
             return _Response(
                 head.status, head.headers, body, first_byte_ms, False
@@ -152,7 +152,7 @@
         return HttpRequest(entry.method, path, '', headers, body)
     completion = {
         'model': entry.service,
-        'messages': [{'role': 'user', 'content': entry.prompt(number)}],
+        'messages': [{'role': 'user', 'content': entry.make_prompt(number)}],
         'max_tokens': entry.output_tokens,
         'stream': entry.is_stream,
     }
@@ -181,7 +181,7 @@
         outcome=_outcome(response),
         code=response.headers.get('code', ''),
         request_id=response.headers.get(HEADER_REQUEST_ID, ''),
-        is_whole=is_success and _is_complete(entry, number, response),
+        is_complete=is_success and _is_complete(entry, number, response),
         first_token_ms=response.first_byte_ms - start_ms
         if response.first_byte_ms
         else 0,
@@ -199,7 +199,7 @@
 def _is_complete(entry: TraceEntry, number: int, response: _Response) -> bool:
     if entry.path:
         return entry.idempotency_key in response.body.decode(ENCODING)
-    expected = expected_response(entry.prompt(number), entry.output_tokens)
+    expected = expected_response(entry.make_prompt(number), entry.output_tokens)
     if not entry.is_stream:
         parsed = json.loads(response.body)
         return bool(parsed['choices'][0]['message']['content'] == expected)
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -51,7 +51,7 @@
     platform: PlatformStandin
     platform_address: Address
     engines: tuple[EngineStandin, ...]
-    booking: BookingStandin
+    booking_service: BookingStandin
     instances: list[Instance]
     listeners: list[Listener]
     plan: FleetPlan
@@ -69,7 +69,7 @@
             platform=platform,
             platform_address=listener.address,
             engines=tuple(engine for engine, _ in engines),
-            booking=booking,
+            booking_service=booking,
             instances=[],
             listeners=[
                 *(each for _, each in engines),
@@ -107,9 +107,9 @@
             max_running=self.plan.max_running,
             max_prompt_tokens=self.plan.max_prompt_tokens,
         )
-        await self.async_put_document(json.dumps(document))
+        await self.async_put_configuration(json.dumps(document))
 
-    async def async_put_document(self, document: str) -> None:
+    async def async_put_configuration(self, document: str) -> None:
         """Store a configuration document in the platform.
 
         :raises RuntimeError: if the document was not written.
@@ -171,12 +171,12 @@
         """Count the runs of each request on all engines."""
         runs: Counter[str] = Counter()
         for engine in self.engines:
-            runs.update(engine.batch.records.runs)
+            runs.update(engine.batch.counters.runs)
         return runs
 
     def owner_of(self, cell: str) -> Instance:
         """Return the owner of a cell according to the first instance."""
-        membership = self.instances[0].parts.membership
+        membership = self.instances[0].components.membership
         owner = membership.owner_of(cell)
         return next(each for each in self.instances if _id_of(each) == owner)
 
@@ -188,7 +188,7 @@
             await listener.async_unload()
 
     def _is_ready(self, instance: Instance) -> bool:
-        parts = instance.parts
+        parts = instance.components
         sees_all = len(parts.membership.live()) == len(self.instances)
         return sees_all and bool(parts.follower.configuration.version)
 
--- a/hornbeamdeck/demo/report.py
+++ b/hornbeamdeck/demo/report.py
@@ -86,12 +86,12 @@
 
 def _tier_row(tier: str, records: Sequence[CallResult]) -> TierRow:
     first_token_times_ms = sorted(
-        record.first_token_ms for record in records if record.is_whole
+        record.first_token_ms for record in records if record.is_complete
     )
     return TierRow(
         tier=tier,
         asked=len(records),
-        whole=sum(record.is_whole for record in records),
+        whole=sum(record.is_complete for record in records),
         in_time=sum(record.is_in_time for record in records),
         shed=sum(
             record.status == HTTPStatus.SERVICE_UNAVAILABLE
@@ -133,7 +133,7 @@
 
 def _wrong_responses(records: Iterable[CallResult]) -> Iterator[str]:
     for record in records:
-        if record.outcome == 'ran' and not record.is_whole:
+        if record.outcome == 'ran' and not record.is_complete:
             yield f'request {record.request_id} got a wrong or cut answer'
 
 
--- a/hornbeamdeck/demo/run.py
+++ b/hornbeamdeck/demo/run.py
@@ -66,7 +66,7 @@
         failed += unmet_outcomes(
             records,
             fleet.runs_by_request(),
-            fleet.booking.runs,
+            fleet.booking_service.runs,
         )
     await fleet.async_stop()
     return DemoReport(rows_by_trace, failed)
--- a/hornbeamdeck/demo/trace.py
+++ b/hornbeamdeck/demo/trace.py
@@ -38,7 +38,7 @@
         """Build from one object of a trace file."""
         return cls(**raw)
 
-    def prompt(self, number: int) -> str:
+    def make_prompt(self, number: int) -> str:
         """Build a prompt that is unique for each entry number."""
         head = f'{number} {self.team} '
         return (head + FILLER * MAX_FILLER_REPEATS)[
--- a/hornbeamdeck/platform/__main__.py
+++ b/hornbeamdeck/platform/__main__.py
@@ -23,7 +23,7 @@
 PLATFORM_ADAPTER: Final = PlatformAdapter(
     open_store=open_store,
     dialect=DIALECT,
-    parse=parse_configuration,
+    parse_configuration=parse_configuration,
     handle_entries_request=handle_entries_request,
 )
 
--- a/hornbeamdeck/platform/dialect.py
+++ b/hornbeamdeck/platform/dialect.py
@@ -68,9 +68,9 @@
         GatewayRequest(
             request_id=request_id,
             host=headers.get('host', '').partition(':')[0].lower(),
-            request=request,
-            key=_bearer_key(headers.get('authorization', '')),
-            patience_ms=min(
+            http_request=request,
+            bearer_key=_bearer_key(headers.get('authorization', '')),
+            client_timeout_ms=min(
                 _whole_number(headers.get(HEADER_CLIENT_TIMEOUT_MS, ''))
                 or DEFAULT_CLIENT_TIMEOUT_MS,
                 MAX_CLIENT_TIMEOUT_MS,
@@ -80,32 +80,36 @@
             expected_tokens=_whole_number(
                 headers.get(HEADER_EXPECTED_TOKENS, '')
             ),
-            prompt_parts=_prompt_part_ids(headers.get(HEADER_PROMPT_PARTS, '')),
-            last_event=headers.get(HEADER_LAST_EVENT_ID, ''),
+            prompt_part_ids=_prompt_part_ids(
+                headers.get(HEADER_PROMPT_PARTS, '')
+            ),
+            last_event_id=headers.get(HEADER_LAST_EVENT_ID, ''),
         ),
     )
 
 
 def engine_headers(decoded: GatewayRequest, attempt: EngineAttempt) -> Headers:
     """Make the headers of a request for the engine that will run it."""
-    connection_header = decoded.request.headers.get('connection', '')
+    connection_header = decoded.http_request.headers.get('connection', '')
     connection_only = {
         each.strip().lower() for each in connection_header.split(',')
     }
     headers = {
         name: text
-        for name, text in without_hop_by_hop(decoded.request.headers).items()
+        for name, text in without_hop_by_hop(
+            decoded.http_request.headers
+        ).items()
         if name not in connection_only
         and name not in GATEWAY_ONLY_HEADERS
         and name not in {'authorization', 'expect', HEADER_LAST_EVENT_ID}
     }
-    headers['host'] = decoded.request.headers.get('host', '')
+    headers['host'] = decoded.http_request.headers.get('host', '')
     headers[HEADER_CLIENT_TIMEOUT_MS] = str(attempt.left_ms)
     headers[HEADER_EXPECTED_ENGINE] = attempt.engine
     if attempt.team:
         headers[HEADER_TEAM] = attempt.team
-    if attempt.after_event:
-        headers[HEADER_LAST_EVENT_ID] = attempt.after_event
+    if attempt.last_event_id:
+        headers[HEADER_LAST_EVENT_ID] = attempt.last_event_id
     return headers
 
 
@@ -115,21 +119,21 @@
     """Determine from a response's head whether the engine ran the request."""
     headers = response.headers
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
-        return ResponseVerdict.OTHER_ENGINE
+        return ResponseVerdict.MISDIRECTED
     if HEADER_NOT_RUN in headers:
-        return ResponseVerdict.NOT_RUN
+        return ResponseVerdict.REJECTED
     echoed = headers.get(HEADER_REQUEST_ID)
     if echoed is not None and echoed != decoded.request_id:
         # A late response to another request on this connection.
-        return ResponseVerdict.NOT_ITS_ANSWER
+        return ResponseVerdict.INVALID_RESPONSE
     if (
         'content-encoding' in headers
         or response.status in _INCONCLUSIVE_STATUSES
     ):
-        return ResponseVerdict.NOT_ITS_ANSWER
+        return ResponseVerdict.INVALID_RESPONSE
     is_success = HTTPStatus.OK <= response.status < HTTPStatus.MULTIPLE_CHOICES
     if is_success and HEADER_RESPONSE_SEAL not in headers:
-        return ResponseVerdict.NOT_ITS_ANSWER
+        return ResponseVerdict.INVALID_RESPONSE
     return ResponseVerdict.RAN
 
 
@@ -190,9 +194,9 @@
 
 
 DIALECT: Final = Dialect(
-    read=read_request,
-    to_engine=engine_headers,
-    judge=classify_response,
-    to_caller=caller_response,
-    refusal=failure_response,
+    read_request=read_request,
+    engine_headers=engine_headers,
+    classify_response=classify_response,
+    caller_response=caller_response,
+    failure_response=failure_response,
 )
--- a/hornbeamdeck/platform/documents.py
+++ b/hornbeamdeck/platform/documents.py
@@ -161,7 +161,7 @@
         address=address,
         availability_zone=entry['zone'],
         slots=entry['slots'],
-        is_leaving=entry['state'] == STATE_DRAINING,
+        is_draining=entry['state'] == STATE_DRAINING,
         born_ms=entry['born'],
     )
 
@@ -217,7 +217,7 @@
         gap_ms=checked['target_gap_ms'] or 0,
         timeout_ms=checked['timeout_ms'],
         priority=checked['priority'] or 0,
-        max_dispatches=checked['max_attempts'] or 1,
+        max_attempts=checked['max_attempts'] or 1,
         is_public=checked['public_access'],
         is_resumable=checked['stream_resume'],
     )
@@ -229,7 +229,7 @@
         priority=checked.get('priority'),
         rate_per_s=checked['rate_per_s'] or 0,
         burst=checked['burst'] or 0,
-        plain_tokens=checked['plain_tokens'] or 0,
+        default_request_tokens=checked['plain_tokens'] or 0,
     )
 
 
--- a/hornbeamdeck/platform/store.py
+++ b/hornbeamdeck/platform/store.py
@@ -262,8 +262,8 @@
         list_engines=store.async_list_engines,
         watch_engines=store.async_watch_engines,
         list_instances=store.async_list_instances,
-        publish=store.async_publish,
-        withdraw=store.async_withdraw,
+        write_status=store.async_publish,
+        delete_status=store.async_withdraw,
     )
 
 
--- a/hornbeamdeck/process/engine_cells.py
+++ b/hornbeamdeck/process/engine_cells.py
@@ -38,14 +38,14 @@
         self._reported_slowness: dict[str, float] = {}
         self._configuration = GatewayConfiguration.empty()
 
-    def adopt(self, configuration: GatewayConfiguration) -> None:
+    def apply_configuration(self, configuration: GatewayConfiguration) -> None:
         """Apply a new configuration."""
         self._configuration = configuration
         self._shared.teams.clear()
         self._shared.teams.update(configuration.teams)
-        self.refresh()
+        self.apply_engines()
 
-    def refresh(self) -> None:
+    def apply_engines(self) -> None:
         """Apply the current list of engines to the cells."""
         for service, traits in self._configuration.services.items():
             cell = self._cells.get(service)
@@ -54,7 +54,7 @@
                 self._cells[service] = cell
                 self._scheduler.cells[service] = cell
             engines = self._directory.of_service(service)
-            cell.adopt(engines, traits, self._reported_slowness)
+            cell.update_engines(engines, traits, self._reported_slowness)
 
     def slowness(self) -> dict[str, float]:
         """Return the slowness of each engine by name.
@@ -83,7 +83,7 @@
                 },
             )
 
-    def learn_slowness(self, reported: Mapping[str, float]) -> None:
+    def record_slowness(self, reported: Mapping[str, float]) -> None:
         """Record the slowness values that another owner reported."""
         self._reported_slowness.update(reported)
 
--- a/hornbeamdeck/process/engine_directory.py
+++ b/hornbeamdeck/process/engine_directory.py
@@ -30,7 +30,7 @@
     address: Address
     availability_zone: str
     slots: int
-    is_leaving: bool
+    is_draining: bool
     born_ms: int
 
 
@@ -54,12 +54,12 @@
         """When the last request was sent that confirmed the current list."""
         return self._freshness.confirmed_ms(self.version)
 
-    def has_left(self, name: str) -> bool:
+    def is_draining_or_removed(self, name: str) -> bool:
         """Whether an engine is draining or is no longer listed."""
         engine = self.engines.get(name)
         if engine is None:
             return name in self._removed
-        return engine.is_leaving
+        return engine.is_draining
 
     def version_for_revision(self, revision: int) -> int | None:
         """Return the version for a list that was read at a store revision.
@@ -87,7 +87,7 @@
         """
         self._freshness.confirm(version, requested_ms)
 
-    def adopt(self, version: int, engines: Iterable[Engine]) -> bool:
+    def update(self, version: int, engines: Iterable[Engine]) -> bool:
         """Replace the current list if the given one is newer.
 
         :returns: whether it was newer.
@@ -124,7 +124,7 @@
                     address=str(engine.address),
                     zone=engine.availability_zone,
                     slots=engine.slots,
-                    is_leaving=engine.is_leaving,
+                    is_leaving=engine.is_draining,
                     born_ms=engine.born_ms,
                     slowness=slowness.get(engine.name, UNIT_SLOWNESS),
                 )
@@ -149,6 +149,6 @@
         address=Address.from_text(entry.address),
         availability_zone=entry.zone,
         slots=entry.slots,
-        is_leaving=entry.is_leaving,
+        is_draining=entry.is_leaving,
         born_ms=entry.born_ms,
     )
--- a/hornbeamdeck/process/freshness.py
+++ b/hornbeamdeck/process/freshness.py
@@ -25,7 +25,7 @@
         self._confirmed_ms: dict[int, float] = {}
 
     @property
-    def newest_version(self) -> int:
+    def newest_confirmed_version(self) -> int:
         """Newest confirmed version; 0: none."""
         return max(self._confirmed_ms, default=0)
 
--- a/hornbeamdeck/process/freshness_guard.py
+++ b/hornbeamdeck/process/freshness_guard.py
@@ -56,9 +56,9 @@
         self._engines_read = CoalescedRead(parts.read_engines)
 
     @property
-    def newest_version(self) -> int:
+    def newest_confirmed_version(self) -> int:
         """Newest confirmed version of the configuration; 0: none."""
-        return self._parts.freshness.newest_version
+        return self._parts.freshness.newest_confirmed_version
 
     def configuration_age_ms(self) -> float:
         """Return the age of the configuration's confirmation."""
@@ -69,7 +69,7 @@
         """Return the age of the confirmation of the list of engines."""
         return self._parts.directory.age_ms(now_ms())
 
-    def has_keys(self) -> bool:
+    def may_accept_keys(self) -> bool:
         """Return whether keys may be accepted.
 
         They may while no key can have been revoked longer ago than the bound.
@@ -77,17 +77,17 @@
         limit_ms = self._parts.bounds().revocation_ms - REVOCATION_MARGIN_MS
         return self.configuration_age_ms() < limit_ms
 
-    def is_in_force(self) -> bool:
+    def is_configuration_current(self) -> bool:
         """Return whether every change due by now is in force here."""
         limit_ms = self._parts.bounds().configuration_apply_ms
         return self.configuration_age_ms() < limit_ms
 
-    async def async_renew_configuration(self) -> None:
+    async def async_refresh_configuration(self) -> None:
         """Read the configuration if a change could be missing."""
-        if not self.is_in_force():
+        if not self.is_configuration_current():
             await self._configuration_read.async_wait()
 
-    async def async_may_send(self, engine: str) -> bool:
+    async def async_may_send_to(self, engine: str) -> bool:
         """Return whether a request may be sent to an engine now.
 
         This is checked even after a grant: the owner's view may lag, and an
@@ -96,4 +96,4 @@
         limit_ms = self._parts.bounds().drain_ms - SEND_MARGIN_MS
         if self.engines_age_ms() >= limit_ms:
             await self._engines_read.async_wait()
-        return not self._parts.directory.has_left(engine)
+        return not self._parts.directory.is_draining_or_removed(engine)
--- a/hornbeamdeck/process/gateway.py
+++ b/hornbeamdeck/process/gateway.py
@@ -70,23 +70,23 @@
     ) -> None:
         """Create the components; `async_start` opens the addresses."""
         self.settings = settings
-        self.parts = GatewayComponents.from_settings(settings, adapter)
+        self.components = GatewayComponents.from_settings(settings, adapter)
         self.proofs = FreshnessGuard(
             FreshnessDependencies(
-                freshness=self.parts.freshness,
-                directory=self.parts.directory,
-                version=self.parts.identity.version,
+                freshness=self.components.freshness,
+                directory=self.components.directory,
+                version=self.components.identity.configuration_version,
                 bounds=lambda: self.settings.bounds,
-                read_configuration=self.parts.reader.async_read_configuration,
-                read_engines=self.parts.reader.async_read_engines,
+                read_configuration=self.components.reader.async_read_configuration,
+                read_engines=self.components.reader.async_read_engines,
             ),
         )
-        self.is_leaving = False
+        self.is_draining = False
         self.in_flight = 0
         self._stop_requested_ms = math.inf
         self._adapter = adapter
         self._store_entry = InstanceRegistration(
-            self.parts.store, self.parts.membership
+            self.components.store, self.components.membership
         )
         self.listeners: list[Listener] = []
         self._tasks: list[Task] = []
@@ -94,9 +94,9 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers may be directed to this process."""
-        parts = self.parts
+        parts = self.components
         return (
-            not self.is_leaving
+            not self.is_draining
             and parts.follower.configuration.version > 0
             and parts.directory.version > 0
         )
@@ -115,17 +115,17 @@
         peers = await async_setup_listener(
             settings.peer_address,
             make_peer_server(
-                self.parts.identity,
-                self.parts.scheduler,
-                self.parts.follower,
-                self.parts.snapshots,
-                self.parts.beats.async_answer,
+                self.components.identity,
+                self.components.scheduler,
+                self.components.follower,
+                self.components.snapshots,
+                self.components.heartbeats.async_handle_request,
             ),
         )
         callers = await self._async_listen_to_callers(self._make_edge())
         self.listeners += (peers, callers)
-        membership = self.parts.membership
-        membership.own = membership.own._replace(
+        membership = self.components.membership
+        membership.own_status = membership.own_status._replace(
             address=callers.address,
             peer_address=peers.address,
         )
@@ -134,7 +134,7 @@
             'process started',
             address=str(callers.address),
             availability_zone=settings.availability_zone,
-            incarnation=self.parts.membership.own.incarnation,
+            incarnation=self.components.membership.own_status.incarnation,
             is_first_start=settings.is_first_start,
         )
 
@@ -144,16 +144,16 @@
         :returns: how many requests were cut off at the end of the grace
             period.
         """
-        parts = self.parts
-        self.is_leaving = True
+        parts = self.components
+        self.is_draining = True
         self._stop_requested_ms = now_ms()
-        parts.membership.own = parts.membership.own._replace(
+        parts.membership.own_status = parts.membership.own_status._replace(
             state=STATE_DRAINING,
         )
         _LOGGER.info('planned stop begins', in_flight=self.in_flight)
-        await parts.beats.async_beat()
-        await parts.grants.async_review()
-        await self._async_spawn(self._store_entry.async_withdraw())
+        await parts.heartbeats.async_send_heartbeats()
+        await parts.grants.async_move_to_current_owners()
+        await self._async_spawn(self._store_entry.async_deregister())
         bounds = self.settings.bounds
         deadline_ms = (
             self._stop_requested_ms + bounds.grace_ms - SHUTDOWN_MARGIN_MS
@@ -176,7 +176,7 @@
             await task.cancel()
         for listener in self.listeners:
             await listener.async_unload()
-        await self.parts.peers.async_close()
+        await self.components.peers.async_close()
 
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings; the open addresses are not changed."""
@@ -191,7 +191,7 @@
         _LOGGER.info('settings reloaded', changed=changed)
 
     def _make_edge(self) -> GatewayContext:
-        parts = self.parts
+        parts = self.components
 
         def _spend(team: str, tokens: int) -> None:
             parts.spending.add(team, tokens, now_ms())
@@ -199,19 +199,19 @@
         return GatewayContext(
             dialect=self._adapter.dialect,
             configuration=lambda: parts.follower.configuration,
-            proofs=self.proofs,
-            connections=ConnectionPool(
-                lambda: len(parts.membership.ranked(FLEET_CELL)),
+            freshness_guard=self.proofs,
+            connection_pool=ConnectionPool(
+                lambda: len(parts.membership.ranked_ids(FLEET_CELL)),
             ),
-            acquire=parts.grants.async_acquire,
-            progress=parts.grants.async_progress,
-            release=parts.grants.async_release,
-            spend=_spend,
+            acquire_grant=parts.grants.async_acquire,
+            report_first_token=parts.grants.async_report_first_token,
+            release_grant=parts.grants.async_release,
+            record_granted_tokens=_spend,
             metrics=parts.metrics,
             zone=self.settings.availability_zone,
-            is_leaving=lambda: self.is_leaving,
-            stop_share=self._elapsed_grace_share,
-            in_flight=self._count_in_flight,
+            is_draining=lambda: self.is_draining,
+            shutdown_progress=self._elapsed_grace_share,
+            track_in_flight=self._count_in_flight,
         )
 
     def _elapsed_grace_share(self) -> float:
@@ -221,12 +221,12 @@
     @contextmanager
     def _count_in_flight(self) -> Iterator[None]:
         self.in_flight += 1
-        self.parts.metrics.in_flight = self.in_flight
+        self.components.metrics.in_flight = self.in_flight
         try:
             yield
         finally:
             self.in_flight -= 1
-            self.parts.metrics.in_flight = self.in_flight
+            self.components.metrics.in_flight = self.in_flight
 
     async def _async_listen_to_callers(self, edge: GatewayContext) -> Listener:
         async def _async_run(
@@ -241,7 +241,7 @@
             return refuse_unreadable(edge, bad)
 
         def _limits() -> ReadLimits:
-            limits = self.parts.follower.configuration.limits
+            limits = self.components.follower.configuration.limits
             return ReadLimits(
                 idle_ms=limits.idle_timeout_ms,
                 request_ms=REQUEST_READ_TIMEOUT_MS,
@@ -263,35 +263,35 @@
     def _entries_endpoint(self, request: HttpRequest) -> HttpResponse:
         return self._adapter.handle_entries_request(
             request,
-            self.parts.beats.attendance.usable(),
+            self.components.heartbeats.liveness.serving_instances(),
             self.settings.bounds.entries_ttl_ms,
         )
 
     def _metrics_endpoint(self, _request: HttpRequest) -> HttpResponse:
         headers = {'content-type': METRICS_CONTENT_TYPE}
-        self.parts.metrics.record_confirmation_ages(
+        self.components.metrics.record_confirmation_ages(
             self.proofs.configuration_age_ms(),
             self.proofs.engines_age_ms(),
         )
         module = importlib.import_module(METRICS_EXPORT_MODULE)
-        body: bytes = module.render(self.parts.metrics)
+        body: bytes = module.render(self.components.metrics)
         return HttpResponse(HTTPStatus.OK, headers, body)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.parts
+        parts = self.components
         for work in (
             parts.reader.async_follow_configuration(),
             parts.reader.async_follow_engines(),
             parts.follower.async_fetch_hinted(
-                parts.snapshots.async_take_from_peer,
+                parts.snapshots.async_fetch_from_peer,
             ),
-            parts.snapshots.async_seed(self.settings.seed_peers),
-            parts.beats.async_run(),
-            parts.scheduler.async_sweep(),
-            parts.grants.watch.async_run(),
+            parts.snapshots.async_fetch_from_seeds(self.settings.seed_peers),
+            parts.heartbeats.async_run(),
+            parts.scheduler.async_refuse_expired(),
+            parts.grants.owner_watch.async_run(),
             self._async_review_ownership(),
-            self._store_entry.async_publish(),
-            self._store_entry.async_list(),
+            self._store_entry.async_register(),
+            self._store_entry.async_discover(),
         ):
             await self._async_spawn(work)
 
@@ -300,17 +300,17 @@
 
     async def _async_review_ownership(self) -> None:
         """Move requests when the owner changes; never returns."""
-        was_owner = self.parts.is_owner
+        was_owner = self.components.is_owner
         logged_ms = 0.0
         while True:
             await sleep(MIN_HEARTBEAT_INTERVAL_MS / MILLIS_PER_SECOND)
-            is_owner = self.parts.is_owner
+            is_owner = self.components.is_owner
             if is_owner and now_ms() - logged_ms > LOAD_LOG_INTERVAL_MS:
                 logged_ms = now_ms()
-                self.parts.cells.log_load()
+                self.components.cells.log_load()
             if is_owner != was_owner:
                 _LOGGER.info('ownership changed', is_owner=is_owner)
             if was_owner and not is_owner:
-                self.parts.cells.quotas.forget()
+                self.components.cells.quotas.reset()
             was_owner = is_owner
-            await self.parts.grants.async_review()
+            await self.components.grants.async_move_to_current_owners()
--- a/hornbeamdeck/process/gateway_components.py
+++ b/hornbeamdeck/process/gateway_components.py
@@ -70,15 +70,16 @@
 
     :param open_store: takes the store's address and a callback that counts
         calls by role.
-    :param parse: parses a configuration document; takes its text and version.
-    :param entries_page: responds to a caller that requests the addresses to
+    :param parse_configuration: parses a configuration document; takes its text
+        and version.
+    :param handle_entries_request: responds to a caller that requests the addresses to
         connect to; takes the request, the usable instances and for how long,
         in ms, the response may be cached.
     """
 
     open_store: Callable[[Address, Callable[[str], None]], StoreInterface]
     dialect: Dialect
-    parse: Parse
+    parse_configuration: Parse
     handle_entries_request: EntriesEndpoint
 
 
@@ -95,7 +96,7 @@
     cells: EngineCells
     peers: Peers
     grants: Grants
-    beats: Heartbeats
+    heartbeats: Heartbeats
     reader: StoreReader
     snapshots: Snapshots[GatewayConfiguration]
     identity: PeerIdentity
@@ -116,7 +117,7 @@
             suspect_ms=SUSPECT_MS,
             common_cell=FLEET_CELL,
         )
-        membership.note_published()
+        membership.mark_published()
         directory = EngineDirectory()
         reports = SpendingReports(settings.bounds.quota_window_ms)
         scheduler = Scheduler()
@@ -128,8 +129,8 @@
             settings.bounds,
             TokenQuotas(
                 QuotaView(
-                    spent=reports.spent,
-                    is_remembered=reports.is_complete,
+                    spent=reports.tokens_spent,
+                    covers_window=reports.is_complete,
                     share=lambda: fleet_share[0](),
                 ),
                 QuotaRules(
@@ -141,7 +142,7 @@
         )
         follower = _make_follower(
             _make_configuration_read(store, readers),
-            adapter.parse,
+            adapter.parse_configuration,
             metrics,
             cells,
         )
@@ -160,16 +161,16 @@
                 freshness=freshness,
                 directory=directory,
                 spending=spending,
-                reports=reports,
-                version=identity.version,
-                slowness=cells.slowness,
-                learn_slowness=cells.learn_slowness,
-                on_engines=cells.refresh,
+                spending_reports=reports,
+                configuration_version=identity.configuration_version,
+                engine_slowness=cells.slowness,
+                apply_slowness=cells.record_slowness,
+                on_engines_changed=cells.apply_engines,
                 is_store_reached=lambda: readers[0].is_store_reached,
                 is_first_start=settings.is_first_start,
             ),
         )
-        fleet_share.append(beats.attendance.share)
+        fleet_share.append(beats.liveness.live_share)
         grants = Grants(membership, peers, scheduler)
         _register_handlers(peers, beats, grants)
         readers.append(
@@ -178,12 +179,12 @@
                     access=store,
                     freshness=freshness,
                     directory=directory,
-                    rank=beats.attendance.rank,
+                    rank=beats.liveness.rank,
                     is_owner=lambda: _is_owner(membership),
-                    is_owner_lost=lambda: beats.is_owner_lost,
-                    version=identity.version,
+                    has_owner_lost_store=lambda: beats.has_owner_lost_store,
+                    version=identity.configuration_version,
                     on_document=follower.async_note,
-                    on_engines=cells.refresh,
+                    on_engines_changed=cells.apply_engines,
                 ),
             ),
         )
@@ -198,7 +199,7 @@
             cells=cells,
             peers=peers,
             grants=grants,
-            beats=beats,
+            heartbeats=beats,
             reader=readers[0],
             snapshots=Snapshots(follower, membership, identity),
             identity=identity,
@@ -212,7 +213,7 @@
 
 
 def _is_owner(membership: Membership) -> bool:
-    return membership.owner_of(FLEET_CELL) == membership.own.instance_id
+    return membership.owner_of(FLEET_CELL) == membership.own_status.instance_id
 
 
 def _own_status(settings: GatewaySettings) -> InstanceStatus:
@@ -268,7 +269,7 @@
 
     async def _async_adopted(configuration: GatewayConfiguration) -> None:
         metrics.configuration_version = configuration.version
-        cells.adopt(configuration)
+        cells.apply_configuration(configuration)
 
     return ConfigurationFollower(
         DocumentSource(
@@ -288,7 +289,7 @@
     return PeerIdentity(
         instance_id=settings.instance_id,
         fleet_secret=settings.fleet_secret,
-        version=lambda: follower.configuration.version,
+        configuration_version=lambda: follower.configuration.version,
         count_bytes=metrics.count_peer_bytes,
         clock=HybridClock(),
     )
@@ -297,13 +298,13 @@
 def _register_handlers(peers: Peers, beats: Heartbeats, grants: Grants) -> None:
     async def _async_on_message(peer_id: str, message: Message) -> None:
         if isinstance(message, Beat | EngineList):
-            grants.watch.heard(peer_id)
-            await beats.async_receive(peer_id, message)
+            grants.owner_watch.record_message(peer_id)
+            await beats.async_handle_response(peer_id, message)
             return
         await grants.async_receive(peer_id, message)
 
     async def _async_on_disconnect(peer_id: str) -> None:
-        beats.forget_told(peer_id)
+        beats.forget_sent(peer_id)
         await grants.async_owner_lost(peer_id)
 
-    peers.listen(_async_on_message, _async_on_disconnect)
+    peers.set_callbacks(_async_on_message, _async_on_disconnect)
--- a/hornbeamdeck/process/gateway_metrics.py
+++ b/hornbeamdeck/process/gateway_metrics.py
@@ -52,7 +52,7 @@
         self.confirmation_ages_ms: dict[str, float] = {}
         self.log_lines_dropped = 0
 
-    def ended(
+    def count_request(
         self,
         service: str,
         priority: int,
@@ -63,11 +63,11 @@
         self.requests[service, str(priority), code] += 1
         self.total_latencies[str(priority)].observe(total_ms)
 
-    def first_token(self, first_ms: float) -> None:
+    def record_first_token(self, first_ms: float) -> None:
         """Record a time to first token."""
         self.first_token_latencies.observe(first_ms)
 
-    def refused(self, code: str) -> None:
+    def count_refusal(self, code: str) -> None:
         """Count a request refused before it was admitted."""
         self.edge_refusals[code] += 1
 
--- a/hornbeamdeck/process/grants.py
+++ b/hornbeamdeck/process/grants.py
@@ -62,14 +62,14 @@
         """Start without requests."""
         self._membership = membership
         self._link = OwnerLink(membership, peers, scheduler)
-        self._link.listen(self.async_receive)
+        self._link.set_callbacks(self.async_receive)
         self._waiting: dict[str, _Waiting] = {}
         self._running: dict[str, _Running] = {}
         self._suspects = PoisonReports(membership, self._link)
-        self.watch = OwnerWatch(peers, self._awaited_owners)
+        self.owner_watch = OwnerWatch(peers, self._awaited_owners)
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Number of requests that wait for a grant."""
         return len(self._waiting)
 
@@ -97,7 +97,7 @@
             return Err(refusal_from_owner(decision))
         return Ok(decision)
 
-    async def async_progress(
+    async def async_report_first_token(
         self,
         request_id: str,
         first_token_ms: float,
@@ -140,14 +140,14 @@
 
     async def async_receive(self, sender: str, message: Message) -> None:
         """Handle a message from an owner."""
-        self.watch.heard(sender)
+        self.owner_watch.record_message(sender)
         match message:
             case Grant():
                 await self._async_granted(sender, message)
             case Refuse():
                 await self._async_refused(sender, message)
             case Suspect():
-                self._suspects.note(sender, message)
+                self._suspects.record(sender, message)
 
     async def async_owner_lost(self, owner: str) -> None:
         """Move the requests of a lost owner to the next one.
@@ -155,10 +155,10 @@
         Each waiting request is still kept here and has not reached an upstream,
         so enqueueing it again can't run it twice.
         """
-        self.watch.heard(owner)
+        self.owner_watch.record_message(owner)
         await self._async_move(owner)
 
-    async def async_review(self) -> None:
+    async def async_move_to_current_owners(self) -> None:
         """Move requests whose cells have changed owners."""
         owners = {each.owner for each in self._waiting.values()}
         owners |= {each.owner for each in self._running.values()}
@@ -168,7 +168,7 @@
 
     def _awaited_owners(self) -> set[str]:
         owners = {each.owner for each in self._waiting.values()}
-        return owners - {'', self._membership.own.instance_id}
+        return owners - {'', self._membership.own_status.instance_id}
 
     async def _async_enqueue_and_wait(
         self, waiting: _Waiting
@@ -188,7 +188,7 @@
         left_ms = int(waiting.deadline_ms - now_ms())
         request.deadline_ms = max(left_ms, 0)
         self._waiting[request.request_id] = waiting._replace(owner=owner)
-        await self.watch.async_wake()
+        await self.owner_watch.async_start_probing()
         await self._link.async_send(owner, request)
 
     async def _async_stop_waiting(self, request: Enqueue) -> None:
@@ -230,7 +230,7 @@
         queued = [
             each for each in self._waiting.values() if each.owner == owner
         ]
-        await self._suspects.async_move(owner)
+        await self._suspects.async_move_to_successor(owner)
         for waiting in queued:
             if self._membership.owner_of(waiting.request.cell) != owner:
                 await self._async_leave_queue(waiting)
@@ -243,14 +243,14 @@
             return
         self._running[run.request_id] = _Running(run, owner)
         await self._link.async_send(owner, run)
-        if self._link.is_open(running.owner):
+        if self._link.is_connected(running.owner):
             # The old owner is live and has only lost the cell. Without this
             # message it would count the run forever, and its upstreams would
             # appear full of ended runs if it became the owner again.
             await self._link.async_send(running.owner, _to_cancelled(run))
 
     async def _async_leave_queue(self, waiting: _Waiting) -> None:
-        if self._link.is_open(waiting.owner):
+        if self._link.is_connected(waiting.owner):
             await self._link.async_send(
                 waiting.owner,
                 _to_withdraw(waiting.request),
--- a/hornbeamdeck/process/heartbeat_clock.py
+++ b/hornbeamdeck/process/heartbeat_clock.py
@@ -31,7 +31,9 @@
         """Return the stamp for a heartbeat that is sent now."""
         return int(now) + self._origin_ms
 
-    def asked_ms(self, echo_ms: int, age_ms: int, now: float) -> float | None:
+    def requested_ms(
+        self, echo_ms: int, age_ms: int, now: float
+    ) -> float | None:
         """Return a lower bound for when the peer's store request was sent.
 
         The result is on this process's clock.
--- a/hornbeamdeck/process/heartbeat_pace.py
+++ b/hornbeamdeck/process/heartbeat_pace.py
@@ -44,7 +44,7 @@
         self._probed_ms = 0.0
 
     @property
-    def beat_ms(self) -> float:
+    def interval_ms(self) -> float:
         """Interval between two heartbeats."""
         scaled_ms = HEARTBEAT_INTERVAL_PER_INSTANCE_MS * self._fleet_size()
         return min(
@@ -52,23 +52,25 @@
         )
 
     @property
-    def present_ms(self) -> float:
+    def liveness_timeout_ms(self) -> float:
         """Time after its last heartbeat for which an instance is live."""
-        return max(MIN_LIVENESS_TIMEOUT_MS, self.silence_ms)
+        return max(MIN_LIVENESS_TIMEOUT_MS, self.silence_timeout_ms)
 
     @property
-    def silence_ms(self) -> float:
+    def silence_timeout_ms(self) -> float:
         """Time without a response after which a peer is considered lost."""
-        return SILENCE_TIMEOUT_HEARTBEATS * self.beat_ms
+        return SILENCE_TIMEOUT_HEARTBEATS * self.interval_ms
 
-    def may_open_link(self) -> bool:
+    def may_open_connection(self) -> bool:
         """Decide at random whether to open a connection in this interval.
 
         The decision is drawn separately for each connection.
         """
         return random.random() * self._fleet_size() < CONNECTIONS_PER_HEARTBEAT
 
-    def probes(self, lost_peers: list[str], now: float) -> list[str]:
+    def select_probe_targets(
+        self, lost_peers: list[str], now: float
+    ) -> list[str]:
         """Select at random which lost peers to probe now."""
         probe_ms = max(
             MIN_PROBE_INTERVAL_MS,
--- a/hornbeamdeck/process/heartbeats.py
+++ b/hornbeamdeck/process/heartbeats.py
@@ -50,10 +50,10 @@
 class HeartbeatDependencies(NamedTuple):
     """Parts that heartbeats are built from and applied to.
 
-    :param version: returns the configuration version held here.
-    :param slowness: returns the learned slowness of each engine.
-    :param learn_slowness: applies the slowness of engines that a peer reports.
-    :param on_engines: called when the list of engines has changed.
+    :param configuration_version: returns the configuration version held here.
+    :param engine_slowness: returns the learned slowness of each engine.
+    :param apply_slowness: applies the slowness of engines that a peer reports.
+    :param on_engines_changed: called when the list of engines has changed.
     :param is_first_start: whether no process of the fleet ran before.
     :param is_store_reached: whether the last call to the store was answered.
     """
@@ -63,11 +63,11 @@
     freshness: Freshness
     directory: EngineDirectory
     spending: SpendingLog
-    reports: SpendingReports
-    version: Callable[[], int]
-    slowness: Callable[[], Mapping[str, float]]
-    learn_slowness: Callable[[Mapping[str, float]], None]
-    on_engines: Callable[[], None]
+    spending_reports: SpendingReports
+    configuration_version: Callable[[], int]
+    engine_slowness: Callable[[], Mapping[str, float]]
+    apply_slowness: Callable[[Mapping[str, float]], None]
+    on_engines_changed: Callable[[], None]
     is_store_reached: Callable[[], bool]
     is_first_start: bool
 
@@ -78,35 +78,35 @@
     def __init__(self, parts: HeartbeatDependencies) -> None:
         """Start counting this process's age."""
         self._parts = parts
-        self.is_owner_lost = False
+        self.has_owner_lost_store = False
         self._pace = HeartbeatPace(
-            lambda: len(parts.membership.ranked(FLEET_CELL))
+            lambda: len(parts.membership.ranked_ids(FLEET_CELL))
         )
-        self.attendance = Liveness(
+        self.liveness = Liveness(
             parts.membership,
-            parts.version,
+            parts.configuration_version,
             self._pace,
         )
-        self._clock = HeartbeatClock(self.attendance.started_ms)
+        self._clock = HeartbeatClock(self.liveness.started_ms)
         self._unanswered_ms: dict[str, float] = {}
         self._sent_updates = SentUpdates(
-            parts.membership, self.attendance.present
+            parts.membership, self.liveness.live_ids
         )
 
     async def async_run(self) -> None:
         """Send heartbeats periodically, forever."""
         while True:
-            await self.async_beat()
-            await sleep(self._pace.beat_ms / MILLIS_PER_SECOND)
+            await self.async_send_heartbeats()
+            await sleep(self._pace.interval_ms / MILLIS_PER_SECOND)
 
-    async def async_beat(self) -> None:
+    async def async_send_heartbeats(self) -> None:
         """Send one heartbeat to each first-ranked instance."""
         parts = self._parts
         now = now_ms()
         # When this process becomes the owner, it also counts the spending of
         # its own callers.
-        parts.reports.note(
-            parts.membership.own.instance_id,
+        parts.spending_reports.record(
+            parts.membership.own_status.instance_id,
             parts.spending.report(now),
             self._spending_record_ms(now),
         )
@@ -116,7 +116,7 @@
         for peer_id in targets:
             await self._async_send_heartbeat(peer_id)
 
-    async def async_answer(
+    async def async_handle_request(
         self,
         peer_id: str,
         message: Message,
@@ -132,14 +132,16 @@
         if not message.echo_ms:
             # The peer has restarted and lost what was sent to its predecessor
             # of the same name.
-            self.forget_told(peer_id)
+            self.forget_sent(peer_id)
         beat = self._make_heartbeat(peer_id)
-        beat.present = self._sent_updates.untold_present(peer_id)
-        beat.statuses = self._sent_updates.untold_statuses(peer_id)
+        beat.present = self._sent_updates.unsent_live_ids(peer_id)
+        beat.statuses = self._sent_updates.unsent_statuses(peer_id)
         await deliver(beat)
         await self._async_send_engines(message, deliver)
 
-    async def async_receive(self, peer_id: str, message: Message) -> None:
+    async def async_handle_response(
+        self, peer_id: str, message: Message
+    ) -> None:
         """Apply a peer's response to a heartbeat."""
         if isinstance(message, EngineList):
             self._apply_engines(message)
@@ -149,73 +151,78 @@
         self._unanswered_ms.pop(peer_id, None)
         self._apply_heartbeat(peer_id, message)
         if message.present is not None:
-            self.attendance.take_present(peer_id, message.present)
+            self.liveness.record_reported_live(peer_id, message.present)
         if peer_id == self._parts.membership.owner_of(FLEET_CELL):
-            self.is_owner_lost = not message.is_store_reached
+            self.has_owner_lost_store = not message.is_store_reached
 
         async def _async_deliver(reply: Message) -> None:
             await self._parts.peers.async_send(peer_id, reply)
 
         await self._async_send_engines(message, _async_deliver)
 
-    def forget_told(self, peer_id: str) -> None:
+    def forget_sent(self, peer_id: str) -> None:
         """Send everything to a peer again, since its connection was lost."""
         self._sent_updates.forget(peer_id)
 
     def _targets(self) -> list[str]:
         membership = self._parts.membership
-        own_id = membership.own.instance_id
-        ranked = membership.ranked(FLEET_CELL)
+        own_id = membership.own_status.instance_id
+        ranked = membership.ranked_ids(FLEET_CELL)
         unsuspected = [
-            each for each in ranked if each not in membership.suspects
+            each for each in ranked if each not in membership.suspected
         ]
         targets = unsuspected[:HEARTBEAT_RECEIVERS]
         suspects = [
             each
             for each in ranked[: HEARTBEAT_RECEIVERS + 1]
-            if each in membership.suspects
+            if each in membership.suspected
         ]
         # Without probes, only a request would detect that a lost owner is
         # reachable again.
-        targets += self._pace.probes(suspects, now_ms())
+        targets += self._pace.select_probe_targets(suspects, now_ms())
         return [each for each in targets if each != own_id]
 
     async def _async_send_heartbeat(self, peer_id: str) -> None:
         peers = self._parts.peers
         now = now_ms()
-        if not peers.has_link(peer_id) and not self._pace.may_open_link():
+        if (
+            not peers.has_connection(peer_id)
+            and not self._pace.may_open_connection()
+        ):
             self._unanswered_ms.pop(peer_id, None)
             return
         since_ms = self._unanswered_ms.setdefault(peer_id, now)
-        if now - since_ms > self._pace.silence_ms:
+        if now - since_ms > self._pace.silence_timeout_ms:
             _LOGGER.warning(
                 'peer is silent',
                 peer=peer_id,
                 silent_ms=int(now - since_ms),
             )
             self._unanswered_ms.pop(peer_id)
-            self.attendance.forget(peer_id)
-            await peers.async_drop(peer_id)
+            self.liveness.drop(peer_id)
+            await peers.async_disconnect(peer_id)
             return
         await peers.async_send(peer_id, self._make_heartbeat(peer_id))
 
     def _make_heartbeat(self, peer_id: str) -> Beat:
         parts = self._parts
         now = now_ms()
-        last = self.attendance.heard(peer_id)
-        version = parts.version()
+        last = self.liveness.last_heartbeat(peer_id)
+        version = parts.configuration_version()
         confirmed_ms = parts.freshness.confirmed_ms(version)
         return Beat(
             stamp_ms=self._clock.stamp_ms(now),
             echo_ms=last.stamp_ms,
             configuration_version=version,
-            configuration_age_ms=confirmation_age_ms(last.at_ms, confirmed_ms),
+            configuration_age_ms=confirmation_age_ms(
+                last.received_ms, confirmed_ms
+            ),
             engines_version=parts.directory.version,
             engines_age_ms=confirmation_age_ms(
-                last.at_ms,
+                last.received_ms,
                 parts.directory.confirmed_ms,
             ),
-            status=self._sent_updates.untold_status(peer_id, now),
+            status=self._sent_updates.unsent_own_status(peer_id, now),
             memory_ms=int(self._spending_record_ms(now)),
             spent=parts.spending.report(now),
             is_store_reached=parts.is_store_reached(),
@@ -227,12 +234,12 @@
             self._apply_status(beat.status)
         for text in beat.statuses or ():
             self._apply_status(text)
-        self.attendance.hear(
+        self.liveness.record_heartbeat(
             peer_id,
             beat.stamp_ms,
             is_usable=beat.configuration_version > 0,
         )
-        parts.reports.note(peer_id, beat.spent, beat.memory_ms)
+        parts.spending_reports.record(peer_id, beat.spent, beat.memory_ms)
         if not beat.echo_ms:
             return
         # The peer's ages count back from the arrival of the heartbeat that it
@@ -247,7 +254,7 @@
             ),
             (parts.directory, beat.engines_version, beat.engines_age_ms),
         ):
-            requested_ms = self._clock.asked_ms(beat.echo_ms, age_ms, now)
+            requested_ms = self._clock.requested_ms(beat.echo_ms, age_ms, now)
             if requested_ms is None:
                 _LOGGER.warning('proof not accepted', peer=peer_id)
                 return
@@ -257,7 +264,7 @@
         if self._parts.is_first_start:
             # No spending precedes the first start, so the record is complete.
             return NEVER_CONFIRMED_AGE_MS
-        return now - self.attendance.started_ms
+        return now - self.liveness.started_ms
 
     def _apply_status(self, text: str) -> None:
         try:
@@ -266,16 +273,16 @@
             _LOGGER.warning('peer sent an invalid status object', text=text)
             return
         membership = self._parts.membership
-        if status.instance_id == membership.own.instance_id:
+        if status.instance_id == membership.own_status.instance_id:
             return
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
         if membership.status_of(status.instance_id) != status:
-            membership.note_status(StoredObject(key, 0, text))
+            membership.apply_status(StoredObject(key, 0, text))
 
     async def _async_send_engines(self, beat: Beat, deliver: Deliver) -> None:
         directory = self._parts.directory
         if beat.engines_version < directory.version:
-            await deliver(directory.to_wire(self._parts.slowness()))
+            await deliver(directory.to_wire(self._parts.engine_slowness()))
 
     def _apply_engines(self, message: EngineList) -> None:
         parts = self._parts
@@ -284,8 +291,8 @@
         except ValueError:
             _LOGGER.warning('peer sent an invalid engine entry')
             return
-        if parts.directory.adopt(message.version, engines):
-            parts.learn_slowness(
+        if parts.directory.update(message.version, engines):
+            parts.apply_slowness(
                 {entry.name: entry.slowness for entry in message.engines},
             )
-            parts.on_engines()
+            parts.on_engines_changed()
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -40,8 +40,8 @@
 
     def __init__(self, parts: InstanceComponents) -> None:
         """Create the instance; `async_start` opens the addresses."""
-        self.parts = parts
-        self.is_leaving = False
+        self.components = parts
+        self.is_draining = False
         self.in_flight = 0
         self._listeners: list[Listener] = []
         self._tasks: list[Task] = []
@@ -49,7 +49,7 @@
     @property
     def own(self) -> InstanceStatus:
         """The status that this instance publishes."""
-        return self.parts.membership.own
+        return self.components.membership.own_status
 
     async def async_start(self) -> None:
         """Open the addresses, then start the background tasks.
@@ -57,7 +57,7 @@
         The store may be down at startup. The tasks retry, and the
         configuration is received later from peers or from the store.
         """
-        parts = self.parts
+        parts = self.components
         callers = await async_setup_listener(
             parts.settings.address,
             self._serve_callers(),
@@ -73,7 +73,7 @@
             serve_peer,
         )
         self._listeners = [callers, peers]
-        parts.membership.own = self.own._replace(
+        parts.membership.own_status = self.own._replace(
             address=callers.address,
             peer_address=peers.address,
         )
@@ -89,15 +89,15 @@
 
         :returns: how many requests were cut off at the drain deadline.
         """
-        parts = self.parts
-        self.is_leaving = True
-        parts.membership.own = self.own._replace(state=STATE_DRAINING)
+        parts = self.components
+        self.is_draining = True
+        parts.membership.own_status = self.own._replace(state=STATE_DRAINING)
         _LOGGER.info('planned stop begins', pending=self._pending())
         # This write does not count as pending work: if the store is down, it
         # would delay the shutdown until its deadline although no caller waits
         # for it.
         await self._async_spawn_task(parts.presence.async_publish())
-        await parts.grants.async_review()
+        await parts.grants.async_move_to_current_owners()
         deadline_ms = now_ms() + parts.settings.drain_ms
         # Callers cache the list of addresses for this time and continue to
         # connect to this instance.
@@ -118,27 +118,27 @@
             await task.cancel()
         for listener in self._listeners:
             await listener.async_unload()
-        await self.parts.peers.async_close()
-        await self.parts.platform.async_close()
+        await self.components.peers.async_close()
+        await self.components.platform.async_close()
 
-    def answering(self) -> AnswerContext:
+    def request_context(self) -> AnswerContext:
         """Return what a request needs, with the current configuration."""
-        parts = self.parts
+        parts = self.components
         return AnswerContext(
             configuration=parts.follower.configuration,
             policy=parts.policy,
-            once=parts.once,
+            execution_rights=parts.once,
             metrics=parts.metrics,
             background=parts.background,
         )
 
     def _serve_callers(self) -> ServeConnection:
         routing = RouterContext(
-            answering=self.answering,
-            membership=self.parts.membership,
-            entries_ttl_ms=self.parts.settings.entries_ttl_ms,
-            is_leaving=lambda: self.is_leaving,
-            in_flight=self._count_in_flight,
+            make_answer_context=self.request_context,
+            membership=self.components.membership,
+            entries_ttl_ms=self.components.settings.entries_ttl_ms,
+            is_draining=lambda: self.is_draining,
+            track_in_flight=self._count_in_flight,
         )
         respond = make_answer(routing)
 
@@ -150,15 +150,15 @@
     @contextmanager
     def _count_in_flight(self) -> Iterator[None]:
         self.in_flight += 1
-        self.parts.metrics.in_flight.set(self.in_flight)
+        self.components.metrics.in_flight.set(self.in_flight)
         try:
             yield
         finally:
             self.in_flight -= 1
-            self.parts.metrics.in_flight.set(self.in_flight)
+            self.components.metrics.in_flight.set(self.in_flight)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.parts
+        parts = self.components
         forever = [
             async_follow(
                 parts.platform,
@@ -167,13 +167,13 @@
                 role=CONFIGURATION_ROLE,
             ),
             parts.follower.async_fetch_hinted(
-                parts.snapshots.async_take_from_peer,
+                parts.snapshots.async_fetch_from_peer,
             ),
-            parts.snapshots.async_seed(parts.settings.seed_peers),
+            parts.snapshots.async_fetch_from_seeds(parts.settings.seed_peers),
             parts.presence.async_follow_statuses(),
-            parts.presence.async_poll_list(),
-            parts.scheduler.async_sweep(),
-            parts.grants.watch.async_run(),
+            parts.presence.async_poll_instance_list(),
+            parts.scheduler.async_refuse_expired(),
+            parts.grants.owner_watch.async_run(),
         ]
         if parts.settings.policy == 'least_reported_load':
             forever.append(parts.reports.async_poll())
@@ -185,7 +185,7 @@
         self._tasks.append(await spawn(work, daemon=True))
 
     def _pending(self) -> int:
-        return self.in_flight + self.parts.background.pending
+        return self.in_flight + self.components.background.pending
 
     async def _async_drain(self, deadline_ms: float) -> None:
         idle_polls = 0
--- a/hornbeamdeck/process/instance_components.py
+++ b/hornbeamdeck/process/instance_components.py
@@ -74,7 +74,7 @@
         identity = _make_identity(settings, metrics, follower)
         peers = Peers(membership, identity, on_version=follower.async_hint)
         grants = Grants(membership, peers, scheduler)
-        peers.listen(grants.async_receive, grants.async_owner_lost)
+        peers.set_callbacks(grants.async_receive, grants.async_owner_lost)
         reports = LoadReports(lambda: follower.configuration)
         background = Background()
         return cls(
@@ -122,7 +122,7 @@
 ) -> ConfigurationFollower[Configuration]:
     async def _async_adopted(configuration: Configuration) -> None:
         metrics.configuration_version.set(configuration.version)
-        scheduler.adopt(configuration)
+        scheduler.apply_configuration(configuration)
 
     return make_configuration_follower(platform, _async_adopted)
 
@@ -135,7 +135,7 @@
     return PeerIdentity(
         instance_id=settings.instance_id,
         fleet_secret=settings.fleet_secret,
-        version=lambda: follower.configuration.version,
+        configuration_version=lambda: follower.configuration.version,
         count_bytes=metrics.count_peer_bytes,
         clock=HybridClock(),
     )
@@ -170,6 +170,6 @@
 
     return Policy(
         acquire=_async_acquire,
-        first_token=grants.async_progress,
-        release=grants.async_release,
+        on_first_token=grants.async_report_first_token,
+        on_end=grants.async_release,
     )
--- a/hornbeamdeck/process/instance_registration.py
+++ b/hornbeamdeck/process/instance_registration.py
@@ -33,25 +33,27 @@
         self._store = store
         self._membership = membership
 
-    async def async_publish(self) -> None:
+    async def async_register(self) -> None:
         """Write this instance's entry; retries until the write succeeds."""
         waits = backoff_s()
         while True:
-            written = await self._store.publish(self._membership.own)
+            written = await self._store.write_status(
+                self._membership.own_status
+            )
             if not isinstance(written, Err):
                 return
             await sleep(next(waits))
 
-    async def async_withdraw(self) -> None:
+    async def async_deregister(self) -> None:
         """Delete this instance's entry."""
-        deleted = await self._store.withdraw(self._membership.own)
+        deleted = await self._store.delete_status(self._membership.own_status)
         if isinstance(deleted, Err):
             _LOGGER.warning(
                 "could not delete this instance's entry in the store",
                 cause=deleted.err_value.cause,
             )
 
-    async def async_list(self) -> None:
+    async def async_discover(self) -> None:
         """Read the entries of all instances twice, with a delay between."""
         await self._async_list_once()
         await sleep(SECOND_LISTING_DELAY_MS / MILLIS_PER_SECOND)
@@ -67,4 +69,4 @@
             if self._membership.status_of(status.instance_id) is None:
                 key = f'{PREFIX_INSTANCE}{status.instance_id}'
                 change = StoredObject(key, 0, status.to_text())
-                self._membership.note_status(change)
+                self._membership.apply_status(change)
--- a/hornbeamdeck/process/issued_key_calls.py
+++ b/hornbeamdeck/process/issued_key_calls.py
@@ -38,7 +38,7 @@
         """Start without records."""
         self._records: OrderedDict[str, _CallRecord] = OrderedDict()
 
-    def begin(
+    def claim_call(
         self,
         key: IssuedKey,
         fingerprint: str,
--- a/hornbeamdeck/process/liveness.py
+++ b/hornbeamdeck/process/liveness.py
@@ -28,13 +28,13 @@
     """The last heartbeat of a peer.
 
     :param stamp_ms: the peer's clock when it sent the heartbeat.
-    :param at_ms: this process's clock when the heartbeat arrived.
-    :param is_usable: whether the peer can serve requests.
+    :param received_ms: this process's clock when the heartbeat arrived.
+    :param can_serve: whether the peer can serve requests.
     """
 
     stamp_ms: int
-    at_ms: float
-    is_usable: bool
+    received_ms: float
+    can_serve: bool
 
 
 class Liveness:
@@ -60,7 +60,9 @@
         self._share = 1.0
         self._share_until_ms = 0.0
 
-    def hear(self, peer_id: str, stamp_ms: int, *, is_usable: bool) -> None:
+    def record_heartbeat(
+        self, peer_id: str, stamp_ms: int, *, is_usable: bool
+    ) -> None:
         """Record a heartbeat of a peer.
 
         :param is_usable: whether the peer can serve requests.
@@ -69,26 +71,28 @@
             stamp_ms, now_ms(), is_usable
         )
 
-    def heard(self, peer_id: str) -> LastHeartbeat:
+    def last_heartbeat(self, peer_id: str) -> LastHeartbeat:
         """Return the last heartbeat of a peer; stamp 0 if there is none."""
         return self._last_heartbeats.get(
-            peer_id, LastHeartbeat(0, now_ms(), is_usable=False)
+            peer_id, LastHeartbeat(0, now_ms(), can_serve=False)
         )
 
-    def forget(self, peer_id: str) -> None:
+    def drop(self, peer_id: str) -> None:
         """Drop the last heartbeat of a peer that no longer answers."""
         self._last_heartbeats.pop(peer_id, None)
 
-    def take_present(self, peer_id: str, live_ids: Iterable[str]) -> None:
+    def record_reported_live(
+        self, peer_id: str, live_ids: Iterable[str]
+    ) -> None:
         """Record the live instances that a peer reports.
 
         Only the owner's report is used.
         """
         self._reported_live[peer_id] = frozenset(live_ids)
 
-    def present(self) -> set[str]:
+    def live_ids(self) -> set[str]:
         """Return the ids of instances that are live and can serve."""
-        own = self._membership.own
+        own = self._membership.own_status
         reported = self._reported_live.get(
             self._membership.owner_of(FLEET_CELL)
         )
@@ -102,22 +106,22 @@
             live_ids.discard(own.instance_id)
         return live_ids
 
-    def usable(self) -> list[InstanceStatus]:
+    def serving_instances(self) -> list[InstanceStatus]:
         """List the instances that may serve callers."""
         membership = self._membership
-        statuses = map(membership.status_of, self.present())
+        statuses = map(membership.status_of, self.live_ids())
         others = [
             status
             for status in statuses
             if status is not None
             and status.state == STATE_LIVE
-            and status.instance_id != membership.own.instance_id
+            and status.instance_id != membership.own_status.instance_id
         ]
-        if membership.own.state == STATE_LIVE and self._version():
-            others.append(membership.own)
+        if membership.own_status.state == STATE_LIVE and self._version():
+            others.append(membership.own_status)
         return others
 
-    def share(self) -> float:
+    def live_share(self) -> float:
         """Return the share of known live instances with recent heartbeats.
 
         Cached, since each request reads it several times.
@@ -130,31 +134,32 @@
 
     def rank(self) -> int:
         """Return this process's rank among all instances; the owner has 0."""
-        own_id = self._membership.own.instance_id
-        return self._membership.ranked(FLEET_CELL).index(own_id)
+        own_id = self._membership.own_status.instance_id
+        return self._membership.ranked_ids(FLEET_CELL).index(own_id)
 
     def _compute_share(self, now: float) -> float:
         if now - self.started_ms < STARTUP_GRACE_MS:
             # Other instances have not had the time to send a heartbeat.
             return 1.0
-        known = self._membership.known()
+        known = self._membership.known_peers()
         live = sum(each.state == STATE_LIVE for each in known)
-        since_ms = now - self._pace.present_ms
+        since_ms = now - self._pace.liveness_timeout_ms
         recent = sum(
-            last.at_ms > since_ms for last in self._last_heartbeats.values()
+            last.received_ms > since_ms
+            for last in self._last_heartbeats.values()
         )
         return min((recent + 1) / (live + 1), 1.0)
 
     def _recent_peers(self) -> set[str]:
         now = now_ms()
-        since_ms = now - self._pace.present_ms
+        since_ms = now - self._pace.liveness_timeout_ms
         recent_ids = {
             peer_id
             for peer_id, last in self._last_heartbeats.items()
-            if last.is_usable and last.at_ms > since_ms
+            if last.can_serve and last.received_ms > since_ms
         }
         if now - self.started_ms < STARTUP_GRACE_MS:
-            known = self._membership.known()
+            known = self._membership.known_peers()
             recent_ids |= {each.instance_id for each in known}
         return recent_ids
 
--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -106,11 +106,11 @@
         """
         self._common_cell = common_cell
         self._own = own
-        self.suspects = SuspectedInstances(suspect_ms)
+        self.suspected = SuspectedInstances(suspect_ms)
         self.is_published = False
         # Counts the calls of `note_status`. Code that forwards statuses to
         # peers compares it to detect changes.
-        self.changes = 0
+        self.change_count = 0
         self._statuses: dict[str, InstanceStatus] = {}
         self._first_seen_ms: dict[str, float] = {}
         self._listed_states: dict[str, str] = {}
@@ -120,19 +120,19 @@
         self._ranked: dict[str, tuple[str, ...]] = {}
 
     @property
-    def own(self) -> InstanceStatus:
+    def own_status(self) -> InstanceStatus:
         """Status of this process."""
         return self._own
 
-    @own.setter
-    def own(self, status: InstanceStatus) -> None:
+    @own_status.setter
+    def own_status(self, status: InstanceStatus) -> None:
         self._owners.clear()
         self._ranked.clear()
         self._own = status
 
-    def note_status(self, change: StoredObject) -> None:
+    def apply_status(self, change: StoredObject) -> None:
         """Apply the write or deletion of a status object."""
-        self.changes += 1
+        self.change_count += 1
         self._owners.clear()
         self._ranked.clear()
         instance_id = change.key.rpartition('/')[2]
@@ -146,10 +146,10 @@
             return
         if self._statuses.get(instance_id) != status:
             self._first_seen_ms[instance_id] = now_ms()
-            self.suspects.remove(instance_id)
+            self.suspected.remove(instance_id)
         self._statuses[instance_id] = status
 
-    def note_listed(self, listed: tuple[ListedInstance, ...]) -> None:
+    def apply_instance_list(self, listed: tuple[ListedInstance, ...]) -> None:
         """Replace the platform's instance list by a newly read one."""
         states = {each.address: each.state for each in listed}
         if states != self._listed_states or self._has_unlisted_in_list_grace():
@@ -160,11 +160,11 @@
     def suspect(self, instance_id: str) -> None:
         """Suspect an instance whose connection failed."""
         self._owners.clear()
-        self.suspects.add(instance_id)
+        self.suspected.add(instance_id)
 
-    def clear(self, instance_id: str) -> None:
+    def clear_suspicion(self, instance_id: str) -> None:
         """End the suspicion of an instance that has answered."""
-        if self.suspects.remove(instance_id):
+        if self.suspected.remove(instance_id):
             self._owners.clear()
 
     def status_of(self, instance_id: str) -> InstanceStatus | None:
@@ -177,18 +177,18 @@
         others = [
             status
             for status in self._statuses.values()
-            if status.instance_id != self.own.instance_id
+            if status.instance_id != self.own_status.instance_id
             and self._is_live(status, now)
         ]
         # Until its status is published, no other instance counts this process
         # as a possible owner. If it counted itself, its cells would have two
         # owners.
         is_owner = self.is_published or not others
-        if self.own.state == STATE_LIVE and is_owner:
-            others.append(self.own)
+        if self.own_status.state == STATE_LIVE and is_owner:
+            others.append(self.own_status)
         return others
 
-    def note_published(self) -> None:
+    def mark_published(self) -> None:
         """Record that this process's status is visible to other instances."""
         self._owners.clear()
         self.is_published = True
@@ -205,14 +205,14 @@
         cell = self._common_cell or cell
         owner = self._owners.get(cell)
         if owner is None:
-            self._owners_valid_until_ms = self.suspects.next_expiry_ms()
+            self._owners_valid_until_ms = self.suspected.next_expiry_ms()
             cores = _cores_by_instance(self.live())
             owner = owner_of(cell, cores, cores.__getitem__)
-            owner = owner or self.own.instance_id
+            owner = owner or self.own_status.instance_id
             self._owners[cell] = owner
         return owner
 
-    def ranked(self, cell: str) -> tuple[str, ...]:
+    def ranked_ids(self, cell: str) -> tuple[str, ...]:
         """Rank all known instances for a cell, including suspected ones.
 
         Cached until the membership changes, since every instance reads the
@@ -220,20 +220,22 @@
         """
         ranked = self._ranked.get(cell)
         if ranked is None:
-            cores = _cores_by_instance((*self._statuses.values(), self.own))
+            cores = _cores_by_instance(
+                (*self._statuses.values(), self.own_status)
+            )
             ranked = tuple(ranking(cell, cores, cores.__getitem__))
             self._ranked[cell] = ranked
         return ranked
 
-    def known(self) -> list[InstanceStatus]:
+    def known_peers(self) -> list[InstanceStatus]:
         """List all other known instances, including those that are down."""
         return [
             status
             for status in self._statuses.values()
-            if status.instance_id != self.own.instance_id
+            if status.instance_id != self.own_status.instance_id
         ]
 
-    def entries(self, caller: str, count: int) -> list[InstanceStatus]:
+    def entries_for(self, caller: str, count: int) -> list[InstanceStatus]:
         """Select instances for a caller to use.
 
         Instances in this process's availability zone come first. The order
@@ -244,12 +246,12 @@
         ranked = [by_id[each] for each in ranking(caller, by_id)]
         ranked.sort(
             key=lambda status: (
-                status.availability_zone != self.own.availability_zone
+                status.availability_zone != self.own_status.availability_zone
             ),
         )
         return ranked[:count]
 
-    def leaving_addresses(self) -> list[str]:
+    def draining_addresses(self) -> list[str]:
         """List addresses that the platform lists as draining.
 
         The list covers upstreams as well as instances.
@@ -263,7 +265,7 @@
     def _is_live(self, status: InstanceStatus, now: float) -> bool:
         if status.state != STATE_LIVE:
             return False
-        if status.instance_id in self.suspects:
+        if status.instance_id in self.suspected:
             return False
         listed = self._listed_states.get(str(status.address))
         if listed is not None:
--- a/hornbeamdeck/process/membership_sync.py
+++ b/hornbeamdeck/process/membership_sync.py
@@ -42,10 +42,10 @@
         call of its own.
         """
         waits = backoff_s()
-        status = self._membership.own
-        while status == self._membership.own:
+        status = self._membership.own_status
+        while status == self._membership.own_status:
             if await self._async_try_write(status):
-                self._membership.note_published()
+                self._membership.mark_published()
                 return
             await sleep(next(waits))
 
@@ -58,7 +58,7 @@
             role=ROLE,
         )
 
-    async def async_poll_list(self) -> None:
+    async def async_poll_instance_list(self) -> None:
         """Read the platform's list of live and draining addresses, forever."""
         waits = backoff_s()
         while True:
@@ -69,11 +69,11 @@
                 await sleep(next(waits))
                 continue
             waits = backoff_s()
-            self._membership.note_listed(listed.ok_value)
-            self._scheduler.note_leaving(
-                self._membership.leaving_addresses(),
+            self._membership.apply_instance_list(listed.ok_value)
+            self._scheduler.update_draining(
+                self._membership.draining_addresses(),
             )
-            await self._grants.async_review()
+            await self._grants.async_move_to_current_owners()
             await sleep(LIST_POLL_INTERVAL_MS / MILLIS_PER_SECOND)
 
     async def _async_try_write(self, status: InstanceStatus) -> bool:
@@ -90,5 +90,5 @@
         return not isinstance(written, Err)
 
     async def _async_apply_status(self, change: StoredObject) -> None:
-        self._membership.note_status(change)
-        await self._grants.async_review()
+        self._membership.apply_status(change)
+        await self._grants.async_move_to_current_owners()
--- a/hornbeamdeck/process/owner_link.py
+++ b/hornbeamdeck/process/owner_link.py
@@ -23,13 +23,13 @@
         self._scheduler = scheduler
         self._on_message: OnMessage | None = None
 
-    def listen(self, on_message: OnMessage) -> None:
+    def set_callbacks(self, on_message: OnMessage) -> None:
         """Set the callback that receives responses of the local owner."""
         self._on_message = on_message
 
-    def is_open(self, owner: str) -> bool:
+    def is_connected(self, owner: str) -> bool:
         """Return whether a message to an owner needs no new connection."""
-        return owner == self._own_id or self._peers.has_link(owner)
+        return owner == self._own_id or self._peers.has_connection(owner)
 
     async def async_send(self, owner: str, message: ToOwner) -> None:
         """Send a message; messages to a remote owner are queued."""
@@ -44,7 +44,7 @@
 
     @property
     def _own_id(self) -> str:
-        return self._membership.own.instance_id
+        return self._membership.own_status.instance_id
 
     async def _async_deliver(self, reply: Message) -> None:
         if self._on_message is not None:
--- a/hornbeamdeck/process/owner_watch.py
+++ b/hornbeamdeck/process/owner_watch.py
@@ -40,11 +40,11 @@
         self._last_message_ms: dict[str, float] = {}
         self._has_waiting = Event()
 
-    async def async_wake(self) -> None:
+    async def async_start_probing(self) -> None:
         """Start probing, since a request waits now."""
         await self._has_waiting.set()
 
-    def heard(self, owner: str) -> None:
+    def record_message(self, owner: str) -> None:
         """Record that an owner has sent a message."""
         self._last_message_ms[owner] = now_ms()
         self._unanswered_ms.pop(owner, None)
@@ -77,7 +77,7 @@
         since_ms = self._unanswered_ms.setdefault(owner, now)
         if now - since_ms > SILENCE_TIMEOUT_MS:
             _LOGGER.warning('owner is silent', owner=owner)
-            await self._peers.async_drop(owner)
+            await self._peers.async_disconnect(owner)
             return
         probe = Heartbeat(sequence=int(since_ms), is_reply=False)
         await self._peers.async_send(owner, probe)
--- a/hornbeamdeck/process/peer_server.py
+++ b/hornbeamdeck/process/peer_server.py
@@ -99,4 +99,4 @@
         reply = Heartbeat(sequence=message.sequence, is_reply=True)
         await connection.async_send(reply)
     if isinstance(message, AskSnapshot):
-        await connection.async_send(snapshots.give(message))
+        await connection.async_send(snapshots.make_snapshot(message))
--- a/hornbeamdeck/process/peers.py
+++ b/hornbeamdeck/process/peers.py
@@ -47,7 +47,7 @@
         self._outboxes: dict[str, Queue] = {}
         self._tasks: dict[str, Task] = {}
 
-    def listen(self, on_message: OnMessage, on_lost: OnLost) -> None:
+    def set_callbacks(self, on_message: OnMessage, on_lost: OnLost) -> None:
         """Set the callbacks for messages and for lost connections."""
         self._on_message = on_message
         self._on_lost = on_lost
@@ -66,11 +66,11 @@
             )
         await outbox.put(message)
 
-    def has_link(self, peer_id: str) -> bool:
+    def has_connection(self, peer_id: str) -> bool:
         """Return whether a connection to a peer is open or being opened."""
         return peer_id in self._outboxes
 
-    async def async_drop(self, peer_id: str) -> None:
+    async def async_disconnect(self, peer_id: str) -> None:
         """Close the connection to a silent peer and report it lost at once."""
         task = self._tasks.get(peer_id)
         if task is not None:
@@ -103,8 +103,8 @@
         if connection.peer_id != peer_id:
             await connection.async_close()
             return f'{connection.peer_id} responded at its address'
-        self._membership.clear(peer_id)
-        connection.take_over(outbox)
+        self._membership.clear_suspicion(peer_id)
+        connection.attach_outbox(outbox)
 
         async def _async_received(envelope: Envelope) -> None:
             await self._on_version(peer_id, envelope.configuration_version)
--- a/hornbeamdeck/process/placement_policy.py
+++ b/hornbeamdeck/process/placement_policy.py
@@ -19,12 +19,12 @@
     """A policy that assigns upstreams to requests.
 
     :param acquire: waits until an upstream may be used and returns its name.
-    :param first_token: called with a request id and its time to first token
+    :param on_first_token: called with a request id and its time to first token
         in milliseconds.
-    :param release: called with a request id, how its run ended and the run's
+    :param on_end: called with a request id, how its run ended and the run's
         duration in milliseconds.
     """
 
     acquire: Acquire
-    first_token: OnFirstToken
-    release: OnEnd
+    on_first_token: OnFirstToken
+    on_end: OnEnd
--- a/hornbeamdeck/process/poison_reports.py
+++ b/hornbeamdeck/process/poison_reports.py
@@ -30,7 +30,7 @@
         self._link = link
         self._suspects: dict[str, _ReportedSuspect] = {}
 
-    def note(self, owner: str, suspect: Suspect) -> None:
+    def record(self, owner: str, suspect: Suspect) -> None:
         """Record a suspected request that an owner reports."""
         self._suspects.pop(suspect.fingerprint, None)
         self._suspects[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
@@ -41,7 +41,7 @@
         """Return the owners that have any of these suspected requests."""
         return {each.owner for each in self._suspects.values()}
 
-    async def async_move(self, owner: str) -> None:
+    async def async_move_to_successor(self, owner: str) -> None:
         """Report an owner's suspected requests to its successors."""
         reported = [
             each for each in self._suspects.values() if each.owner == owner
--- a/hornbeamdeck/process/scheduler.py
+++ b/hornbeamdeck/process/scheduler.py
@@ -49,7 +49,7 @@
         self._draining: frozenset[str] = frozenset()
         self._has_waiting = Event()
 
-    def adopt(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Apply a new configuration; each service has one cell today."""
         weights = {
             team.name: team.weight
@@ -61,16 +61,16 @@
             if not isinstance(cell, Cell):
                 cell = Cell()
                 self.cells[service] = cell
-            cell.adopt(
+            cell.apply_configuration(
                 configuration.upstreams_of(service),
                 weights=weights,
                 top_rank=min(ranks, default=0),
             )
         for removed in self.cells.keys() - configuration.services.keys():
             self.cells.pop(removed)
-        self.note_leaving(self._draining)
+        self.update_draining(self._draining)
 
-    def note_leaving(self, addresses: Iterable[str]) -> None:
+    def update_draining(self, addresses: Iterable[str]) -> None:
         """Grant no more requests to the upstreams at these addresses."""
         self._draining = frozenset(addresses)
         plain_cells = (
@@ -79,7 +79,7 @@
         for cell in plain_cells:
             for load in cell.loads.values():
                 address = str(load.upstream.address)
-                load.is_leaving = address in self._draining
+                load.is_draining = address in self._draining
 
     async def async_receive(
         self,
@@ -111,14 +111,14 @@
                 if suspect is not None:
                     await deliver(suspect)
             case Suspect():
-                cell.suspicions.note(
+                cell.crash_tracker.merge_crash_count(
                     message.fingerprint,
                     message.crashes,
                     now_ms(),
                 )
         await self._async_grant(cell)
 
-    async def async_regrant(self) -> None:
+    async def async_evaluate_cells(self) -> None:
         """Evaluate all cells again after a change to their data."""
         for cell in tuple(self.cells.values()):
             await self._async_grant(cell)
@@ -126,10 +126,10 @@
     async def async_drop_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
         for cell in self.cells.values():
-            cell.drop_sender(sender)
+            cell.remove_sender(sender)
             await self._async_grant(cell)
 
-    async def async_sweep(self) -> None:
+    async def async_refuse_expired(self) -> None:
         """Periodically refuse requests that can no longer end in time.
 
         Evaluating grants alone is not enough: while long responses occupy all
@@ -141,7 +141,7 @@
                 self._has_waiting.clear()
                 await self._has_waiting.wait()
             await sleep(SWEEP_MS / MILLIS_PER_SECOND)
-            await self.async_regrant()
+            await self.async_evaluate_cells()
 
     async def _async_enqueue(
         self,
@@ -150,7 +150,7 @@
         sender: str,
         deliver: Deliver,
     ) -> None:
-        refused = cell.offer(
+        refused = cell.enqueue(
             request,
             sender=sender,
             deliver=deliver,
@@ -162,22 +162,22 @@
 
     async def _async_grant(self, cell: AnyCell) -> None:
         now = now_ms()
-        refusals = [*cell.expire(now), *cell.displace()]
-        granted = list(cell.grants(now))
+        refusals = [*cell.refuse_expired(now), *cell.shed()]
+        granted = list(cell.place_waiting(now))
         for refused in refusals:
             await _async_refuse(refused)
         for grant in granted:
-            request = grant.ticket.request
-            if grant.held_for:
+            request = grant.queued.request
+            if grant.hold_reason:
                 _LOGGER.info(
                     'request was held back',
                     request_id=request.request_id,
                     cell=request.cell,
-                    held_for=grant.held_for,
+                    held_for=grant.hold_reason,
                     engine=grant.upstream,
                     prompt_tokens=request.prompt_tokens,
                 )
-            await grant.ticket.deliver(
+            await grant.queued.deliver(
                 Grant(
                     request_id=request.request_id,
                     cell=request.cell,
@@ -199,13 +199,13 @@
 
 
 async def _async_refuse(refused: Refused) -> None:
-    request = refused.ticket.request
+    request = refused.queued.request
     _LOGGER.info(
         'request refused',
         request_id=request.request_id,
         cell=request.cell,
         reason=RefusalReason(refused.refusal.reason).name.lower(),
         retry_after_ms=refused.refusal.retry_after_ms,
-        **refused.facts,
+        **refused.log_fields,
     )
-    await refused.ticket.deliver(refused.refusal)
+    await refused.queued.deliver(refused.refusal)
--- a/hornbeamdeck/process/sent_updates.py
+++ b/hornbeamdeck/process/sent_updates.py
@@ -58,19 +58,19 @@
         self._sent_live_ids.pop(peer_id, None)
         self._sent_own_status.pop(peer_id, None)
 
-    def untold_statuses(self, peer_id: str) -> list[str]:
+    def unsent_statuses(self, peer_id: str) -> list[str]:
         """Return status objects of other instances not yet sent to a peer."""
-        changes = self._membership.changes
+        changes = self._membership.change_count
         sent = self._sent_statuses.get(peer_id, _EMPTY)
         if sent.changes == changes:
             return []
         if self._statuses.changes != changes:
-            texts = (each.to_text() for each in self._membership.known())
+            texts = (each.to_text() for each in self._membership.known_peers())
             self._statuses = _StatusSet(changes, frozenset(texts))
         self._sent_statuses[peer_id] = self._statuses
         return sorted(self._statuses.statuses - sent.statuses)
 
-    def untold_status(self, peer_id: str, now: float) -> str:
+    def unsent_own_status(self, peer_id: str, now: float) -> str:
         """Return this instance's status object if it is due to be sent.
 
         The status object takes up half of a heartbeat's bytes and hardly ever
@@ -79,14 +79,14 @@
 
         :returns: an empty string if the peer needs no status now.
         """
-        text = self._membership.own.to_text()
+        text = self._membership.own_status.to_text()
         sent = self._sent_own_status.get(peer_id)
         if sent and sent.text == text and now - sent.sent_ms < STATUS_RESEND_MS:
             return ''
         self._sent_own_status[peer_id] = _SentStatus(text, now)
         return text
 
-    def untold_present(self, peer_id: str) -> list[str] | None:
+    def unsent_live_ids(self, peer_id: str) -> list[str] | None:
         """Return the live instances, `None` if unchanged for a peer."""
         live_ids = frozenset(self._live_ids())
         if self._sent_live_ids.get(peer_id) == live_ids:
--- a/hornbeamdeck/process/serve_gateway.py
+++ b/hornbeamdeck/process/serve_gateway.py
@@ -46,7 +46,7 @@
     stop_requested = stop_event()
     reload_requested = _reload_event()
     gateway = Gateway(settings, adapter)
-    buffer = LogBuffer(gateway.parts.metrics.count_dropped_log_line)
+    buffer = LogBuffer(gateway.components.metrics.count_dropped_log_line)
     setup_logs(
         level=settings.log_level,
         instance_id=settings.instance_id,
--- a/hornbeamdeck/process/snapshots.py
+++ b/hornbeamdeck/process/snapshots.py
@@ -58,7 +58,7 @@
         self._membership = membership
         self._identity = identity
 
-    def give(self, request: AskSnapshot) -> Snapshot:
+    def make_snapshot(self, request: AskSnapshot) -> Snapshot:
         """Make a snapshot of the configuration and the live instances."""
         held = self._follower.configuration
         is_newer = held.version > request.known_version
@@ -68,13 +68,13 @@
             statuses=[each.to_text() for each in self._membership.live()],
         )
 
-    async def async_take_from_peer(self, peer_id: str) -> None:
+    async def async_fetch_from_peer(self, peer_id: str) -> None:
         """Request a snapshot from one peer and apply what is newer."""
         status = self._membership.status_of(peer_id)
         if status is not None:
             await self._async_apply_from(status.peer_address, PEER_TIMEOUT_MS)
 
-    async def async_seed(self, seeds: tuple[Address, ...]) -> None:
+    async def async_fetch_from_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Request snapshots from the seeds in turn until one is applied.
 
         The store is read at the same time. Stop as soon as a configuration is
@@ -113,7 +113,7 @@
             # A status read from the store is at least as new.
             return
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
-        self._membership.note_status(StoredObject(key, 0, text))
+        self._membership.apply_status(StoredObject(key, 0, text))
 
     async def _async_request(
         self,
--- a/hornbeamdeck/process/spending.py
+++ b/hornbeamdeck/process/spending.py
@@ -60,7 +60,7 @@
         self._reports: dict[str, dict[str, int]] = {}
         self._record_durations_ms: dict[str, float] = {}
 
-    def note(
+    def record(
         self,
         peer_id: str,
         spent: Iterable[Spending],
@@ -73,12 +73,12 @@
         self._reports[peer_id] = {each.team: each.tokens for each in spent}
         self._record_durations_ms[peer_id] = memory_ms
 
-    def forget(self, peer_id: str) -> None:
+    def drop(self, peer_id: str) -> None:
         """Drop the report of a removed instance."""
         self._reports.pop(peer_id, None)
         self._record_durations_ms.pop(peer_id, None)
 
-    def spent(self, team: str) -> int:
+    def tokens_spent(self, team: str) -> int:
         """Return a team's spending summed over all reports."""
         return sum(report.get(team, 0) for report in self._reports.values())
 
--- a/hornbeamdeck/process/store_engine_list.py
+++ b/hornbeamdeck/process/store_engine_list.py
@@ -87,5 +87,5 @@
         return {**self._retained, **self._entries}
 
     def _retain(self, engine: Engine, now: float) -> None:
-        if now - self._recovered_ms <= RETENTION_MS and not engine.is_leaving:
+        if now - self._recovered_ms <= RETENTION_MS and not engine.is_draining:
             self._retained[engine.name] = engine
--- a/hornbeamdeck/process/store_interface.py
+++ b/hornbeamdeck/process/store_interface.py
@@ -44,10 +44,10 @@
 class EnginesRead(NamedTuple):
     """The result of listing all engines, or of watching for changes.
 
-    :param at: the store's revision at the time of the read.
+    :param revision: the store's revision at the time of the read.
     """
 
-    at: int
+    revision: int
     changes: tuple[EngineChange, ...]
 
 
@@ -82,8 +82,8 @@
 
     :param watch_configuration: takes a revision and the longest wait, ms.
     :param watch_engines: takes the same arguments.
-    :param publish: writes this instance's status and overwrites an old one.
-    :param withdraw: deletes this instance's status.
+    :param write_status: writes this instance's status; overwrites an old one.
+    :param delete_status: deletes this instance's status.
     """
 
     read_configuration: ReadConfiguration
@@ -91,5 +91,5 @@
     list_engines: ListEngines
     watch_engines: WatchEngines
     list_instances: ListInstances
-    publish: Publish
-    withdraw: Publish
+    write_status: Publish
+    delete_status: Publish
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -65,10 +65,10 @@
 
     :param rank: returns this process's rank; the owner has rank 0.
     :param is_owner: whether this process owns the fleet's cells now.
-    :param is_owner_lost: whether the owner can't reach the store.
+    :param has_owner_lost_store: whether the owner can't reach the store.
     :param version: returns the version of this process's configuration.
     :param on_document: called with each document that was read.
-    :param on_engines: called when the list of engines has changed.
+    :param on_engines_changed: called when the list of engines has changed.
     """
 
     access: StoreInterface
@@ -76,10 +76,10 @@
     directory: EngineDirectory
     rank: Callable[[], int]
     is_owner: Callable[[], bool]
-    is_owner_lost: Callable[[], bool]
+    has_owner_lost_store: Callable[[], bool]
     version: Callable[[], int]
     on_document: Callable[[StoredObject], Awaitable[None]]
-    on_engines: Callable[[], None]
+    on_engines_changed: Callable[[], None]
 
 
 class StoreReader:
@@ -194,7 +194,7 @@
         self._apply_engines(
             response.ok_value, requested_ms, is_complete=not revision
         )
-        return response.ok_value.at
+        return response.ok_value.revision
 
     def _apply_engines(
         self,
@@ -205,11 +205,11 @@
     ) -> None:
         directory = self._parts.directory
         now = now_ms()
-        if read.at < self._engines_revision:
+        if read.revision < self._engines_revision:
             # This read is older than the last one that was applied.
-            directory.confirm_revision(read.at, requested_ms)
+            directory.confirm_revision(read.revision, requested_ms)
             return
-        self._engines_revision = read.at
+        self._engines_revision = read.revision
         if is_complete:
             self._registry.apply_list(
                 read.changes,
@@ -225,9 +225,9 @@
         else:
             self._registry.apply_changes(read.changes, now)
         engines = self._registry.usable_engines(now)
-        version = directory.version_for_revision(read.at)
+        version = directory.version_for_revision(read.revision)
         if version is not None and engines != dict(directory.engines):
-            directory.adopt(version, engines.values())
+            directory.update(version, engines.values())
             _LOGGER.info(
                 'engines changed',
                 version=version,
@@ -235,18 +235,18 @@
                 leaving=sorted(
                     name
                     for name, engine in engines.items()
-                    if engine.is_leaving
+                    if engine.is_draining
                 ),
             )
-            self._parts.on_engines()
-        directory.confirm_revision(read.at, requested_ms)
+            self._parts.on_engines_changed()
+        directory.confirm_revision(read.revision, requested_ms)
 
     def _is_due(self, age_ms: float, max_age_ms: float) -> bool:
         parts = self._parts
         if parts.is_owner():
             return True
         wait_ms = min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
-        if parts.is_owner_lost():
+        if parts.has_owner_lost_store():
             max_age_ms = OWNER_LOST_MAX_AGE_MS
         return age_ms > max_age_ms + wait_ms
 
--- a/hornbeamdeck/request/admission.py
+++ b/hornbeamdeck/request/admission.py
@@ -90,9 +90,9 @@
         return max(int(self.deadline_ms - now_ms()), 0)
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether the call may safely run twice."""
-        return self.service.may_repeat(self.request.method, self.path)
+        return self.service.is_idempotent(self.request.method, self.path)
 
 
 def make_request_id() -> str:
--- a/hornbeamdeck/request/admitted_request.py
+++ b/hornbeamdeck/request/admitted_request.py
@@ -44,7 +44,7 @@
 
     configuration: Configuration
     policy: Policy
-    once: IdempotencyContext
+    execution_rights: IdempotencyContext
     metrics: Metrics
     background: Background
 
@@ -59,10 +59,12 @@
     However it ends, the caller gets exactly one final response, or its
     connection is broken.
     """
-    if admission.may_repeat:
+    if admission.is_repeatable:
         await _async_run(parts, admission, None, caller)
         return
-    claimed = await async_acquire_execution_right(parts.once, admission)
+    claimed = await async_acquire_execution_right(
+        parts.execution_rights, admission
+    )
     if isinstance(claimed, Err):
         await async_fail(parts.metrics, admission, claimed.err_value, caller)
         return
@@ -120,7 +122,7 @@
         await async_fail(parts.metrics, admission, relayed.err_value, caller)
         return
     parts.metrics.count(*_metric_labels(admission), 'ran')
-    if not caller.has_started:
+    if not caller.has_response_started:
         await caller.async_respond(relayed.ok_value)
 
 
@@ -175,10 +177,10 @@
         code=failure.code,
         outcome=failure.outcome.value,
     )
-    if caller.has_started:
+    if caller.has_response_started:
         # Part of a response has been sent, so only a broken connection can
         # still signal the failure.
-        caller.abort()
+        caller.reset_on_close()
         return
     await caller.async_respond(to_response(failure, admission.request_id))
 
--- a/hornbeamdeck/request/endpoints.py
+++ b/hornbeamdeck/request/endpoints.py
@@ -30,17 +30,17 @@
 class RouterContext(NamedTuple):
     """Dependencies of the router.
 
-    :param answering: returns the dependencies for answering a request, with
-        the configuration in force now.
-    :param is_leaving: whether a graceful shutdown has begun.
-    :param in_flight: counts a request while it is being answered.
+    :param make_answer_context: returns the dependencies for answering a
+        request, with the configuration in force now.
+    :param is_draining: whether a graceful shutdown has begun.
+    :param track_in_flight: counts a request while it is being answered.
     """
 
-    answering: Callable[[], AnswerContext]
+    make_answer_context: Callable[[], AnswerContext]
     membership: Membership
     entries_ttl_ms: int
-    is_leaving: Callable[[], bool]
-    in_flight: Callable[[], AbstractContextManager[None]]
+    is_draining: Callable[[], bool]
+    track_in_flight: Callable[[], AbstractContextManager[None]]
 
 
 TeamEndpoint: TypeAlias = Callable[
@@ -73,7 +73,7 @@
 
 def _health(routing: RouterContext, parts: AnswerContext) -> HttpResponse:
     version = parts.configuration.version
-    if routing.is_leaving():
+    if routing.is_draining():
         return _json_response(
             HTTPStatus.SERVICE_UNAVAILABLE, {'state': 'leaving'}
         )
@@ -90,7 +90,7 @@
     _team: Team,
     request_id: str,
 ) -> HttpResponse:
-    chosen = routing.membership.entries(request_id, MAX_ENTRIES)
+    chosen = routing.membership.entries_for(request_id, MAX_ENTRIES)
     entries = [
         {
             'address': str(status.address),
@@ -110,7 +110,7 @@
     team: Team,
     request_id: str,
 ) -> HttpResponse:
-    if routing.is_leaving():
+    if routing.is_draining():
         # The records of issued keys are in this process's memory and are lost
         # when it stops.
         refusal = NotRun(
@@ -119,7 +119,7 @@
             'this instance is leaving; ask another',
         )
         return to_response(refusal, request_id)
-    key = issue_key_for_team(parts.once, team.name)
+    key = issue_key_for_team(parts.execution_rights, team.name)
     return _json_response(HTTPStatus.CREATED, {'idempotency_key': key})
 
 
--- a/hornbeamdeck/request/engine_attempts.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -48,21 +48,21 @@
         self.first_ms = 0.0
         self.begun_ms = 0.0
         self.longest_gap_ms = 0.0
-        self.is_sent = False
-        self.last_event_id = admission.ask.last_event
+        self.is_possibly_executing = False
+        self.last_event_id = admission.request.last_event_id
         self._edge = edge
         self._admission = admission
         self._caller = caller
         self._last_event_ms = 0.0
         self._link = EngineConnection(
-            edge.connections,
-            may_repeat=admission.route.may_repeat,
+            edge.connection_pool,
+            may_repeat=admission.route.is_repeatable,
         )
 
     @property
     def fingerprint(self) -> str:
         """Digest of the request, which stays the same when it is resent."""
-        request = self._admission.ask.request
+        request = self._admission.request.http_request
         digest = hashlib.sha256()
         for part in (request.path, request.query, self._admission.team_name):
             digest.update(f'{part}\x00'.encode(ENCODING))
@@ -106,12 +106,14 @@
             engine=engine,
             team=admission.team_name,
             left_ms=admission.left_ms,
-            after_event=self.last_event_id,
+            last_event_id=self.last_event_id,
         )
-        request = admission.ask.request._replace(
-            headers=self._edge.dialect.to_engine(admission.ask, dispatch),
+        request = admission.request.http_request._replace(
+            headers=self._edge.dialect.engine_headers(
+                admission.request, dispatch
+            ),
         )
-        self.is_sent = True
+        self.is_possibly_executing = True
         sent = await connection.async_send(request)
         if isinstance(sent, Err):
             return sent
@@ -122,16 +124,18 @@
         head: HttpResponse,
         sent_ms: float,
     ) -> RunEnd:
-        match self._edge.dialect.judge(self._admission.ask, head):
-            case ResponseVerdict.NOT_RUN:
+        match self._edge.dialect.classify_response(
+            self._admission.request, head
+        ):
+            case ResponseVerdict.REJECTED:
                 self.cause = f'rejected by the engine, status {head.status}'
-                self.is_sent = False
+                self.is_possibly_executing = False
                 return RunEnd.REJECTED
-            case ResponseVerdict.OTHER_ENGINE:
+            case ResponseVerdict.MISDIRECTED:
                 self.cause = 'the address belongs to another engine'
-                self.is_sent = False
+                self.is_possibly_executing = False
                 return RunEnd.MISDIRECTED
-            case ResponseVerdict.NOT_ITS_ANSWER:
+            case ResponseVerdict.INVALID_RESPONSE:
                 self.cause = (
                     f'not a valid engine response, status {head.status}'
                 )
@@ -153,11 +157,11 @@
             return RunEnd.FAILED
         self._record_first_byte(sent_ms)
         whole = head._replace(body=body.ok_value)
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             # A stream was to be resumed, but this response is not a stream.
             self.cause = f'not a stream, status {head.status}'
             return RunEnd.FAILED
-        self.response = self._edge.dialect.to_caller(whole)
+        self.response = self._edge.dialect.caller_response(whole)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.cause = f'status {head.status}'
             return RunEnd.ERRORED
@@ -171,22 +175,22 @@
         end: RunEnd | None = None
         while connection is not None and end is None:
             piece = await self._async_read_with_timeout(
-                connection.async_read_piece()
+                connection.async_read_chunk()
             )
             if isinstance(piece, Err):
                 self.cause = piece.err_value.cause
                 return RunEnd.FAILED
             if not piece.ok_value:
                 return await self._async_end_stream(feed)
-            events = feed.feed(piece.ok_value)
+            events = feed.add_piece(piece.ok_value)
             end = await self._async_relay_events(head, events, sent_ms)
         return end or RunEnd.CANCELLED
 
     async def _async_end_stream(self, feed: EventParser) -> RunEnd:
-        if feed.has_partial_event or not self._caller.has_started:
+        if feed.has_partial_event or not self._caller.has_response_started:
             self.cause = 'the stream ended within an event'
             return RunEnd.FAILED
-        await self._caller.async_end()
+        await self._caller.async_end_response()
         return RunEnd.ANSWERED
 
     async def _async_relay_events(
@@ -205,19 +209,21 @@
             return RunEnd.FAILED
         if not unsent:
             return None
-        if not self._caller.has_started:
-            response = self._edge.dialect.to_caller(head)
-            await self._caller.async_start(response.status, response.headers)
+        if not self._caller.has_response_started:
+            response = self._edge.dialect.caller_response(head)
+            await self._caller.async_start_response(
+                response.status, response.headers
+            )
         if not self.first_ms:
             self._record_first_byte(sent_ms)
-            await self._edge.progress(
-                self._admission.ask.request_id,
+            await self._edge.report_first_token(
+                self._admission.request.request_id,
                 self.first_ms,
             )
-            self._edge.metrics.first_token(self.first_ms)
+            self._edge.metrics.record_first_token(self.first_ms)
         self._record_gap()
         encoded = b''.join(event.encoded for event in unsent)
-        relayed = await self._caller.async_send(encoded)
+        relayed = await self._caller.async_send_chunk(encoded)
         return RunEnd.CANCELLED if isinstance(relayed, Err) else None
 
     def _record_first_byte(self, sent_ms: float) -> None:
@@ -244,13 +250,13 @@
                 return None
             if ids_ahead == 1:
                 unsent.append(event)
-                self.last_event_id = event.name or self.last_event_id
+                self.last_event_id = event.event_id or self.last_event_id
         return unsent
 
     def _ids_ahead(self, event: Event) -> int:
         """Return how far an event is ahead of the last; 1 means the next."""
-        if event.name.isdigit() and self.last_event_id.isdigit():
-            return int(event.name) - int(self.last_event_id)
+        if event.event_id.isdigit() and self.last_event_id.isdigit():
+            return int(event.event_id) - int(self.last_event_id)
         return 1
 
     async def _async_read_with_timeout(
@@ -268,7 +274,7 @@
     def _silence_limit_ms(self) -> int:
         """Return how long an engine may be silent; 0: until the deadline."""
         route = self._admission.route
-        if not route.may_repeat:
+        if not route.is_repeatable:
             return 0
         if route.is_stream:
             waited_ms = MAX_SILENT_GAPS * route.gap_ms
--- a/hornbeamdeck/request/engine_connection.py
+++ b/hornbeamdeck/request/engine_connection.py
@@ -53,7 +53,7 @@
         self._engine = grant.upstream
         pooled = None
         if self._may_repeat:
-            pooled = await self._pool.async_take(grant.upstream)
+            pooled = await self._pool.async_acquire(grant.upstream)
         self._was_pooled = pooled is not None
         if pooled is not None:
             self.connection = pooled
@@ -87,8 +87,10 @@
         if connection is None:
             return
         if end in _COMPLETE:
-            await self._pool.async_keep(self._engine, connection, self._idle_ms)
+            await self._pool.async_release(
+                self._engine, connection, self._idle_ms
+            )
             return
         await connection.async_close()
         if self._was_pooled and end == RunEnd.FAILED:
-            await self._pool.async_drop(self._engine)
+            await self._pool.async_close_engine(self._engine)
--- a/hornbeamdeck/request/event_parser.py
+++ b/hornbeamdeck/request/event_parser.py
@@ -13,10 +13,10 @@
 class Event(NamedTuple):
     """One event with the blank line that ends it.
 
-    :param name: its id; empty if it has none.
+    :param event_id: its id; empty if it has none.
     """
 
-    name: str
+    event_id: str
     encoded: bytes
 
 
@@ -36,7 +36,7 @@
         """Whether the stream so far ends within an event."""
         return bool(self._pending.strip())
 
-    def feed(self, piece: bytes) -> list[Event]:
+    def add_piece(self, piece: bytes) -> list[Event]:
         """Add a piece and return the events that are complete now."""
         pending = self._pending + piece
         events = []
--- a/hornbeamdeck/request/gateway_admission.py
+++ b/hornbeamdeck/request/gateway_admission.py
@@ -44,7 +44,7 @@
     :param deadline_ms: when its final response is due, on the same clock.
     """
 
-    ask: GatewayRequest
+    request: GatewayRequest
     route: Route
     service: str
     team: GatewayTeam | None
@@ -90,7 +90,7 @@
         return self.route.priority
 
     @property
-    def rank_in_team(self) -> int | None:
+    def route_rank(self) -> int | None:
         """The route's priority if the team's overrides it, else `None`."""
         if self.team is None or self.team.priority is None:
             return None
@@ -101,7 +101,7 @@
         """Number of tokens that it counts against its team's limit."""
         if self.team is None:
             return 0
-        return self.ask.counted_tokens or self.team.plain_tokens
+        return self.request.stated_tokens or self.team.default_request_tokens
 
 
 async def async_admit(
@@ -116,7 +116,7 @@
     :param configuration: returns the configuration in force here.
     """
     arrived_ms = now_ms()
-    await proofs.async_renew_configuration()
+    await proofs.async_refresh_configuration()
     return _admit(configuration(), proofs, ask, arrived_ms)
 
 
@@ -128,24 +128,25 @@
 ) -> Result[GatewayAdmission, NotRun]:
     if not configuration.version:
         return Err(_unconfirmed('no_configuration', 'no configuration yet'))
-    route = configuration.find_route(ask.host, ask.request.path)
+    route = configuration.find_route(ask.host, ask.http_request.path)
     if route is None:
         return Err(_deny_if_in_force(proofs, _no_route()))
     team = None
     if configuration.teams and not route.is_public:
-        if not proofs.has_keys():
+        if not proofs.may_accept_keys():
             return Err(_stale_configuration())
-        team = configuration.team_of_key(ask.key)
+        team = configuration.team_of_key(ask.bearer_key)
         if team is None:
             return Err(_deny_if_in_force(proofs, unauthorized()))
     return Ok(
         GatewayAdmission(
-            ask=ask,
+            request=ask,
             route=route,
             service=route.pick_service(random.random()),
             team=team,
             arrived_ms=arrived_ms,
-            deadline_ms=arrived_ms + min(ask.patience_ms, route.timeout_ms),
+            deadline_ms=arrived_ms
+            + min(ask.client_timeout_ms, route.timeout_ms),
         ),
     )
 
@@ -161,7 +162,7 @@
         return Ok(None)
     if not has_keys:
         return Err(_stale_configuration())
-    if configuration.team_of_key(admission.ask.key) is None:
+    if configuration.team_of_key(admission.request.bearer_key) is None:
         return Err(unauthorized())
     return Ok(None)
 
@@ -172,7 +173,9 @@
     A denial is final for its caller, so a stale configuration must not cause
     one.
     """
-    return denial if proofs.is_in_force() else _stale_configuration()
+    return (
+        denial if proofs.is_configuration_current() else _stale_configuration()
+    )
 
 
 def _no_route() -> NotRun:
--- a/hornbeamdeck/request/gateway_handler.py
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -51,32 +51,36 @@
 class GatewayContext(NamedTuple):
     """Dependencies for answering routed requests.
 
-    :param proofs: freshness of the configuration and of the list of engines.
-    :param connections: pool of idle connections to engines.
-    :param acquire: waits for a grant.
-    :param progress: gets a request's id and its time to first token, ms.
-    :param release: gets a request's id, how its run ended, how long it took,
-        and the longest gap between two events, ms.
-    :param spend: gets a team's name and the number of tokens granted to it.
+    :param freshness_guard: freshness of the configuration and of the list of
+        engines.
+    :param connection_pool: pool of idle connections to engines.
+    :param acquire_grant: waits for a grant.
+    :param report_first_token: gets a request's id and its time to first token,
+        ms.
+    :param release_grant: gets a request's id, how its run ended, how long it
+        took, and the longest gap between two events, ms.
+    :param record_granted_tokens: gets a team's name and the number of tokens
+        granted to it.
     :param zone: this instance's availability zone.
-    :param is_leaving: whether a graceful shutdown has begun.
-    :param stop_share: elapsed part of a graceful shutdown; 0 if none has begun.
-    :param in_flight: counts a request while it is being answered.
+    :param is_draining: whether a graceful shutdown has begun.
+    :param shutdown_progress: elapsed part of a graceful shutdown; 0 if none has
+        begun.
+    :param track_in_flight: counts a request while it is being answered.
     """
 
     dialect: Dialect
     configuration: Callable[[], GatewayConfiguration]
-    proofs: FreshnessGuard
-    connections: ConnectionPool
-    acquire: Acquire
-    progress: Callable[[str, float], Awaitable[None]]
-    release: Callable[[str, RunEnd, float, float], Awaitable[None]]
-    spend: Callable[[str, int], None]
+    freshness_guard: FreshnessGuard
+    connection_pool: ConnectionPool
+    acquire_grant: Acquire
+    report_first_token: Callable[[str, float], Awaitable[None]]
+    release_grant: Callable[[str, RunEnd, float, float], Awaitable[None]]
+    record_granted_tokens: Callable[[str, int], None]
     metrics: GatewayMetrics
     zone: str
-    is_leaving: Callable[[], bool]
-    stop_share: Callable[[], float]
-    in_flight: Callable[[], AbstractContextManager[None]]
+    is_draining: Callable[[], bool]
+    shutdown_progress: Callable[[], float]
+    track_in_flight: Callable[[], AbstractContextManager[None]]
 
 
 def make_gateway_handler(
@@ -91,9 +95,9 @@
         request: HttpRequest,
         caller: ServerConnection,
     ) -> None:
-        if edge.is_leaving():
+        if edge.is_draining():
             caller.close_after_response()
-        with edge.in_flight():
+        with edge.track_in_flight():
             await _async_admit(edge, run, request, caller)
 
     return _async_answer
@@ -105,14 +109,14 @@
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
-    decoded = edge.dialect.read(request)
+    decoded = edge.dialect.read_request(request)
     if isinstance(decoded, Err):
         # Further bytes on this connection may belong to the bad request.
         caller.close_after_response()
         await _async_refuse(edge, '', decoded.err_value, caller)
         return
     ask = decoded.ok_value
-    admitted = await async_admit(edge.configuration, edge.proofs, ask)
+    admitted = await async_admit(edge.configuration, edge.freshness_guard, ask)
     if isinstance(admitted, Err):
         await _async_refuse(edge, ask.request_id, admitted.err_value, caller)
         return
@@ -136,7 +140,7 @@
         if admission.route.is_stream
         else MAX_SHUTDOWN_SHARE_OTHER
     )
-    return edge.stop_share() > share
+    return edge.shutdown_progress() > share
 
 
 def _draining() -> NotRun:
@@ -154,24 +158,26 @@
     refusal: NotRun,
     caller: ServerConnection,
 ) -> None:
-    edge.metrics.refused(refusal.code)
+    edge.metrics.count_refusal(refusal.code)
     _LOGGER.info(
         'request refused at the edge',
         request_id=request_id,
         code=refusal.code,
         status=int(refusal.status),
         configuration_version=edge.configuration().version,
-        newest_version=edge.proofs.newest_version,
-        proof_age_ms=_age_for_log(edge.proofs.configuration_age_ms()),
+        newest_version=edge.freshness_guard.newest_confirmed_version,
+        proof_age_ms=_age_for_log(edge.freshness_guard.configuration_age_ms()),
+    )
+    await caller.async_respond(
+        edge.dialect.failure_response(refusal, request_id)
     )
-    await caller.async_respond(edge.dialect.refusal(refusal, request_id))
 
 
 def refuse_unreadable(edge: GatewayContext, bad: BadRequest) -> HttpResponse:
     """Make the response to a request that can't be parsed."""
     refusal = NotRun(HTTPStatus(bad.status), 'unreadable', bad.detail)
-    edge.metrics.refused(refusal.code)
-    return edge.dialect.refusal(refusal, '')
+    edge.metrics.count_refusal(refusal.code)
+    return edge.dialect.failure_response(refusal, '')
 
 
 def _age_for_log(age_ms: float) -> int | None:
--- a/hornbeamdeck/request/gateway_run.py
+++ b/hornbeamdeck/request/gateway_run.py
@@ -101,7 +101,7 @@
             if isinstance(granted, Err):
                 return await self._async_handle_refusal(granted.err_value)
             upstream = granted.ok_value.upstream
-            if not await self._edge.proofs.async_may_send(upstream):
+            if not await self._edge.freshness_guard.async_may_send_to(upstream):
                 await self._async_return_grant(upstream)
                 continue
             end = await self._async_attempt(granted.ok_value)
@@ -110,7 +110,10 @@
 
     def timeout_failure(self) -> Failure:
         """Make the failure of a request whose time limit has passed."""
-        if self._attempts.possible_runs or self._engine_call.is_sent:
+        if (
+            self._attempts.possible_runs
+            or self._engine_call.is_possibly_executing
+        ):
             return Unknown(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 'deadline_passed',
@@ -121,13 +124,13 @@
     async def async_fail(self, failure: Failure) -> None:
         """Report a failure to the caller, by a response if none has started."""
         self.log('request failed', code=failure.code)
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             # Part of a response has been sent, so only a broken connection can
             # still signal the failure.
-            self._caller.abort()
+            self._caller.reset_on_close()
             return
-        request_id = self._admission.ask.request_id
-        response = self._edge.dialect.refusal(failure, request_id)
+        request_id = self._admission.request.request_id
+        response = self._edge.dialect.failure_response(failure, request_id)
         await self._caller.async_respond(response)
 
     def log(self, event: str, *, code: str = 'answered') -> None:
@@ -135,10 +138,12 @@
         admission = self._admission
         edge = self._edge
         total_ms = now_ms() - admission.arrived_ms
-        edge.metrics.ended(admission.service, admission.rank, code, total_ms)
+        edge.metrics.count_request(
+            admission.service, admission.rank, code, total_ms
+        )
         _LOGGER.info(
             event,
-            request_id=admission.ask.request_id,
+            request_id=admission.request.request_id,
             code=code,
             route=admission.route.name,
             kind=admission.route.kind.value,
@@ -147,9 +152,9 @@
             rank=admission.rank,
             service=admission.service,
             engine=self._engine,
-            prompt_tokens=admission.ask.prompt_tokens,
-            output_tokens=admission.ask.output_tokens,
-            expected_tokens=admission.ask.expected_tokens,
+            prompt_tokens=admission.request.prompt_tokens,
+            output_tokens=admission.request.output_tokens,
+            expected_tokens=admission.request.expected_tokens,
             waited_ms=int(self._waited_ms),
             first_ms=int(self._engine_call.first_ms),
             begun_ms=int(self._engine_call.begun_ms),
@@ -160,42 +165,48 @@
             tries=self._attempts.engines_reached,
             last_event=self._engine_call.last_event_id,
             configuration_version=edge.configuration().version,
-            newest_version=edge.proofs.newest_version,
-            proof_age_ms=_age_for_log(edge.proofs.configuration_age_ms()),
-            engines_age_ms=_age_for_log(edge.proofs.engines_age_ms()),
+            newest_version=edge.freshness_guard.newest_confirmed_version,
+            proof_age_ms=_age_for_log(
+                edge.freshness_guard.configuration_age_ms()
+            ),
+            engines_age_ms=_age_for_log(edge.freshness_guard.engines_age_ms()),
         )
 
     async def _async_grant(self) -> Result[Grant, NotRun]:
         admission = self._admission
         requested_ms = now_ms()
-        granted = await self._edge.acquire(self._enqueue())
+        granted = await self._edge.acquire_grant(self._enqueue())
         self._waited_ms += now_ms() - requested_ms
         if isinstance(granted, Err):
             return granted
         allowed = recheck_key(
             self._edge.configuration(),
             admission,
-            has_keys=self._edge.proofs.has_keys(),
+            has_keys=self._edge.freshness_guard.may_accept_keys(),
         )
         if isinstance(allowed, Err):
-            request_id = admission.ask.request_id
-            await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
+            request_id = admission.request.request_id
+            await self._edge.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
             return allowed
         if not self._attempts.excluded and admission.team is not None:
-            self._edge.spend(admission.team_name, admission.quota_tokens)
+            self._edge.record_granted_tokens(
+                admission.team_name, admission.quota_tokens
+            )
         return granted
 
     async def _async_return_grant(self, engine: str) -> None:
         """Return a grant whose engine is draining or has been removed."""
-        request_id = self._admission.ask.request_id
+        request_id = self._admission.request.request_id
         _LOGGER.info(
             'grant returned',
             request_id=request_id,
             engine=engine,
             cause='the engine is draining or was removed',
-            engines_age_ms=_age_for_log(self._edge.proofs.engines_age_ms()),
+            engines_age_ms=_age_for_log(
+                self._edge.freshness_guard.engines_age_ms()
+            ),
         )
-        await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
+        await self._edge.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
         excluded = (*self._attempts.excluded, engine)
         self._attempts = self._attempts._replace(excluded=excluded)
 
@@ -207,8 +218,8 @@
             end = await self._engine_call.async_run(grant)
         finally:
             await self._engine_call.async_close(end)
-            await self._edge.release(
-                self._admission.ask.request_id,
+            await self._edge.release_grant(
+                self._admission.request.request_id,
                 end,
                 now_ms() - granted_ms,
                 self._single_engine_gap_ms(),
@@ -217,7 +228,7 @@
         if end != RunEnd.ANSWERED:
             _LOGGER.info(
                 'try ended',
-                request_id=self._admission.ask.request_id,
+                request_id=self._admission.request.request_id,
                 engine=grant.upstream,
                 end=end.name.lower(),
                 cause=self._engine_call.cause,
@@ -249,11 +260,11 @@
             return False
         route = self._admission.route
         if (
-            not route.may_repeat
-            or self._attempts.possible_runs >= route.max_dispatches
+            not route.is_repeatable
+            or self._attempts.possible_runs >= route.max_attempts
         ):
             return False
-        return not self._caller.has_started or route.is_resumable
+        return not self._caller.has_response_started or route.is_resumable
 
     async def _async_handle_refusal(self, refusal: NotRun) -> Failure | None:
         if not self._attempts.possible_runs:
@@ -282,19 +293,19 @@
         )
 
     def _objective_left_ms(self) -> int:
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             return self._admission.route.gap_ms
         return self._admission.objective_left_ms
 
     def _client_timeout_left_ms(self) -> int:
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             timeout_ms = CLIENT_TIMEOUT_GAPS * self._admission.route.gap_ms
             return min(timeout_ms, self._admission.left_ms)
         return self._admission.client_timeout_left_ms
 
     def _enqueue(self) -> Enqueue:
         admission = self._admission
-        ask = admission.ask
+        ask = admission.request
         return Enqueue(
             request_id=ask.request_id,
             cell=admission.service,
@@ -311,7 +322,7 @@
             quota_tokens=admission.quota_tokens,
             dispatches=self._attempts.engines_reached,
             zone=self._edge.zone,
-            route_rank=admission.rank_in_team,
+            route_rank=admission.route_rank,
         )
 
 
--- a/hornbeamdeck/request/idempotency.py
+++ b/hornbeamdeck/request/idempotency.py
@@ -40,14 +40,14 @@
     """Dependencies for claims and issued keys, and this instance's identity."""
 
     claims: Claims
-    issued: IssuedKeyCalls
+    issued_calls: IssuedKeyCalls
     membership: Membership
     secret: str
 
 
 def issue_key_for_team(sources: IdempotencyContext, team: str) -> str:
     """Issue a key whose call only this incarnation will run."""
-    own = sources.membership.own
+    own = sources.membership.own_status
     return issue_key(
         instance_id=own.instance_id,
         incarnation=own.incarnation,
@@ -83,7 +83,9 @@
     if isinstance(decoded, Err):
         return decoded
     if _is_issued_here(sources, decoded.ok_value):
-        return sources.issued.begin(decoded.ok_value, admission.fingerprint)
+        return sources.issued_calls.claim_call(
+            decoded.ok_value, admission.fingerprint
+        )
     return await _async_forward_to_issuer(sources, admission, decoded.ok_value)
 
 
@@ -101,7 +103,7 @@
 
 
 def _is_issued_here(sources: IdempotencyContext, key: IssuedKey) -> bool:
-    own = sources.membership.own
+    own = sources.membership.own_status
     return (key.instance_id, key.incarnation) == (
         own.instance_id,
         own.incarnation,
--- a/hornbeamdeck/request/placement.py
+++ b/hornbeamdeck/request/placement.py
@@ -89,7 +89,7 @@
         # This also runs if the caller disconnects during the connect. If the
         # slot were not released, the owner would count a run that never ends.
         if not isinstance(opened, Ok):
-            await policy.release(admission.request_id, end, 0)
+            await policy.on_end(admission.request_id, end, 0)
     if isinstance(opened, Ok):
         return opened
     _LOGGER.info(
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -122,12 +122,12 @@
     ) -> Result[HttpResponse, Unknown]:
         stream = EngineStream(self._upstream, response)
         self._stream = stream
-        sent_to_caller = await caller.async_start(
+        sent_to_caller = await caller.async_start_response(
             response.status, response.headers
         )
         tail = b''
         while not isinstance(sent_to_caller, Err):
-            piece = await stream.async_read_piece()
+            piece = await stream.async_read_chunk()
             if isinstance(piece, Err):
                 return Err(_upstream_broken())
             if not piece.ok_value:
@@ -135,7 +135,7 @@
             if not tail:
                 await self._async_report_first_token(policy)
             tail = (tail + piece.ok_value)[-TAIL_BYTES:]
-            sent_to_caller = await caller.async_send(piece.ok_value)
+            sent_to_caller = await caller.async_send_chunk(piece.ok_value)
         self.end = RunEnd.CANCELLED
         return Err(_upstream_broken())
 
@@ -152,11 +152,11 @@
         if END_MARK not in tail:
             return Err(_upstream_broken())
         self.end = RunEnd.ANSWERED
-        await caller.async_end()
+        await caller.async_end_response()
         return Ok(response)
 
     async def _async_report_first_token(self, policy: Policy) -> None:
-        await policy.first_token(
+        await policy.on_first_token(
             self._admission.request_id,
             now_ms() - self._granted_ms,
         )
@@ -191,7 +191,7 @@
         raise
     finally:
         await relay.async_close()
-        await policy.release(
+        await policy.on_end(
             admission.request_id,
             relay.end,
             now_ms() - placement.granted_ms,
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -36,10 +36,10 @@
         request: HttpRequest,
         caller: ServerConnection,
     ) -> None:
-        if routing.is_leaving():
+        if routing.is_draining():
             caller.close_after_response()
-        parts = routing.answering()
-        with routing.in_flight():
+        parts = routing.make_answer_context()
+        with routing.track_in_flight():
             await _async_route(routing, parts, request, caller)
 
     return _async_answer
--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -32,24 +32,24 @@
 class Granted(NamedTuple):
     """A request that may run, and on which upstream.
 
-    :param held_for: why it waited while upstreams had free slots, if it did.
+    :param hold_reason: why it waited while upstreams had free slots, if it did.
     """
 
-    ticket: QueuedRequest
+    queued: QueuedRequest
     upstream: str
     address: str = ''
-    held_for: str = ''
+    hold_reason: str = ''
 
 
 class Refused(NamedTuple):
     """A refused request and the refusal to send to its ingress.
 
-    :param facts: what the refusal was based on, as log fields.
+    :param log_fields: what the refusal was based on, as log fields.
     """
 
-    ticket: QueuedRequest
+    queued: QueuedRequest
     refusal: Refuse
-    facts: Mapping[str, object] = MappingProxyType({})
+    log_fields: Mapping[str, object] = MappingProxyType({})
 
 
 class Cell:
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         """Start without upstreams; `adopt` adds them."""
         self.loads: dict[str, UpstreamLoad] = {}
-        self.suspicions = UpstreamCrashTracker()
+        self.crash_tracker = UpstreamCrashTracker()
         self._tiers: dict[int, TierQueue] = {}
         self._latest_start: list[tuple[float, str, int]] = []
         self._weights: Mapping[str, int] = {}
@@ -68,7 +68,7 @@
         """Return the number of waiting requests."""
         return sum(map(len, self._tiers.values()))
 
-    def adopt(
+    def apply_configuration(
         self,
         upstreams: tuple[Upstream, ...],
         *,
@@ -88,7 +88,7 @@
             )
             load.upstream = upstream
 
-    def offer(
+    def enqueue(
         self,
         request: Enqueue,
         *,
@@ -107,7 +107,7 @@
         )
         if not self.loads:
             return self._refuse(ticket, RefusalReason.NO_UPSTREAM)
-        if self.suspicions.is_culprit(request.fingerprint, now):
+        if self.crash_tracker.is_confirmed_poison(request.fingerprint, now):
             return self._refuse(ticket, RefusalReason.CULPRIT)
         wait_ms = self._wait_ms(request.tier_rank)
         if wait_ms + ticket.service_ms > request.deadline_ms:
@@ -122,7 +122,7 @@
         heapq.heappush(self._latest_start, entry)
         return None
 
-    def displace(self) -> Iterator[Refused]:
+    def shed(self) -> Iterator[Refused]:
         """Refuse requests, lowest tier first, while the queue is too long."""
         while self._wait_ms(max(self._tiers, default=0)) > MAX_WAIT_MS:
             lowest = max(rank for rank, queue in self._tiers.items() if queue)
@@ -131,7 +131,7 @@
             queue.remove(ticket.request.request_id)
             yield self._refuse(ticket, RefusalReason.OVERLOADED)
 
-    def expire(self, now: float) -> Iterator[Refused]:
+    def refuse_expired(self, now: float) -> Iterator[Refused]:
         """Refuse requests that could no longer end in time if started now."""
         while self._latest_start and self._latest_start[0][0] < now:
             _, request_id, rank = heapq.heappop(self._latest_start)
@@ -140,7 +140,7 @@
                 ticket = queue.remove(request_id)
                 yield self._refuse(ticket, RefusalReason.DEADLINE)
 
-    def grants(self, now: float) -> Iterator[Granted]:
+    def place_waiting(self, now: float) -> Iterator[Granted]:
         """Place waiting requests, highest tier first, until none fits.
 
         A lower tier gets no slots while the next request of a higher tier can't
@@ -194,7 +194,7 @@
         )
         if message.end == RunEnd.NOT_DISPATCHED:
             load.start_backoff(now)
-        return self.suspicions.record_run_end(
+        return self.crash_tracker.record_run_end(
             load.upstream,
             run.fingerprint,
             message.end,
@@ -202,14 +202,14 @@
             now=now,
         )
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
         for queue in self._tiers.values():
             dropped = [each for each in queue if each.sender == sender]
             for ticket in dropped:
                 queue.remove(ticket.request.request_id)
         for load in self.loads.values():
-            load.drop_sender(sender)
+            load.remove_sender(sender)
 
     def _find_running(self, request_id: str) -> UpstreamLoad | None:
         for load in self.loads.values():
@@ -254,7 +254,7 @@
             for other in self.loads.values()
             for fingerprint in other.fingerprints()
         )
-        return self.suspicions.must_wait(request.fingerprint, running, now)
+        return self.crash_tracker.must_wait(request.fingerprint, running, now)
 
     def _place(self, ticket: QueuedRequest, now: float) -> UpstreamLoad | None:
         request = ticket.request
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -59,7 +59,7 @@
     def __init__(self, shared: SharedState, retry_budget: RetryBudget) -> None:
         """Start without engines; `adopt` adds them."""
         self.loads: dict[str, EngineLoad] = {}
-        self.suspicions = EngineCrashTracker()
+        self.crash_tracker = EngineCrashTracker()
         self._wait_queue = WaitQueue()
         self._estimates = ServiceEstimates.initial()
         self._hold_reasons: dict[str, str] = {}
@@ -73,7 +73,7 @@
         """Return the number of waiting requests."""
         return len(self._wait_queue)
 
-    def adopt(
+    def update_engines(
         self,
         engines: Iterable[Engine],
         traits: EngineProperties,
@@ -99,7 +99,7 @@
                 self.loads[name] = load
             load.update(engine, traits)
 
-    def offer(
+    def enqueue(
         self,
         request: Enqueue,
         *,
@@ -124,11 +124,11 @@
         self._placements.record_arrival(request)
         return None
 
-    def displace(self) -> Iterator[Refused]:
+    def shed(self) -> Iterator[Refused]:
         """Return no refusals: requests were admitted by their expected wait."""
         return iter(())
 
-    def expire(self, now: float) -> Iterator[Refused]:
+    def refuse_expired(self, now: float) -> Iterator[Refused]:
         """Refuse waiting requests that can't be served in time any more.
 
         Called with each message, but rate-limited: checking all waiting and
@@ -145,7 +145,7 @@
             self._admission.remove_waiting(ticket.request)
             yield self._refuse(ticket, RefusalReason.DEADLINE, now)
 
-    def grants(self, now: float) -> Iterator[Granted]:
+    def place_waiting(self, now: float) -> Iterator[Granted]:
         """Place waiting requests until no engine has a free slot for any.
 
         Called with each message, so the scan is incremental: requests that
@@ -203,17 +203,17 @@
             return None
         self._placements.record_engine_change(load.engine.name)
         if end == RunEnd.ANSWERED:
-            load.learn_pause(run, message.longest_gap_ms or 0)
+            load.learn_gap(run, message.longest_gap_ms or 0)
         return _update_crash_watch(
-            self.suspicions, load.engine, run.fingerprint, end, now
+            self.crash_tracker, load.engine, run.fingerprint, end, now
         )
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
         for request_id in self._wait_queue.ids_from_sender(sender):
             self.withdraw(request_id)
         for load in self.loads.values():
-            load.drop_sender(sender)
+            load.remove_sender(sender)
         self._placements.request_full_scan()
 
     def _reason_to_refuse(
@@ -224,7 +224,7 @@
     ) -> RefusalReason | None:
         if not self.loads:
             return RefusalReason.NO_UPSTREAM
-        if self.suspicions.is_culprit(request.fingerprint, now):
+        if self.crash_tracker.is_confirmed_poison(request.fingerprint, now):
             return RefusalReason.CULPRIT
         forecast = self._forecast(now)
         return self._admission.reason_to_refuse(
@@ -236,7 +236,7 @@
             [
                 load
                 for load in self.loads.values()
-                if not load.engine.is_leaving
+                if not load.engine.is_draining
             ],
             len(self._wait_queue),
             self._wait_queue.interval_ms,
@@ -352,7 +352,7 @@
         (
             load.first_token_ms(work_ms, now)
             for load in loads
-            if not load.engine.is_leaving
+            if not load.engine.is_draining
         ),
         default=0.0,
     )
@@ -387,5 +387,5 @@
     return Suspect(
         cell=engine.service,
         fingerprint=suspect,
-        crashes=suspicions.crashes(suspect, now),
+        crashes=suspicions.crash_count(suspect, now),
     )
--- a/hornbeamdeck/scheduling/engine_crash_tracker.py
+++ b/hornbeamdeck/scheduling/engine_crash_tracker.py
@@ -38,20 +38,22 @@
         self._failed_runs: dict[str, deque[_FailedRun]] = {}
         self._crash_counts: dict[str, _CrashCount] = {}
 
-    def crashes(self, fingerprint: str, now: float) -> int:
+    def crash_count(self, fingerprint: str, now: float) -> int:
         """Return the number of crashes during which a request was running."""
         count = self._crash_counts.get(fingerprint)
         if count is None or count.until_ms < now:
             return 0
         return count.crashes
 
-    def is_culprit(self, fingerprint: str, now: float) -> bool:
+    def is_confirmed_poison(self, fingerprint: str, now: float) -> bool:
         """Return whether a request is to be refused."""
-        return self.crashes(fingerprint, now) >= POISON_CRASHES
+        return self.crash_count(fingerprint, now) >= POISON_CRASHES
 
-    def note(self, fingerprint: str, crashes: int, now: float) -> None:
+    def merge_crash_count(
+        self, fingerprint: str, crashes: int, now: float
+    ) -> None:
         """Apply the number of crashes that another owner has counted."""
-        crash_count = max(crashes, self.crashes(fingerprint, now))
+        crash_count = max(crashes, self.crash_count(fingerprint, now))
         self._crash_counts[fingerprint] = _CrashCount(
             crash_count, now + RETENTION_MS
         )
@@ -83,9 +85,9 @@
             if each.at_ms >= now - SAME_CRASH_MS
         }
         for each in suspects:
-            self.note(each, self.crashes(each, now) + 1, now)
+            self.merge_crash_count(each, self.crash_count(each, now) + 1, now)
         return max(
             suspects,
-            key=lambda fingerprint: self.crashes(fingerprint, now),
+            key=lambda fingerprint: self.crash_count(fingerprint, now),
             default='',
         )
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -82,7 +82,7 @@
 
     def has_free_slot(self) -> bool:
         """Return whether a request would start at once."""
-        return len(self.runs) < self.slots and not self.engine.is_leaving
+        return len(self.runs) < self.slots and not self.engine.is_draining
 
     def free_slots(self) -> int:
         """Return the number of requests that would start at once."""
@@ -195,7 +195,7 @@
         self.health.record_run_end(run.zone, end, now)
         return run
 
-    def learn_pause(self, run: EngineRun, longest_gap_ms: float) -> None:
+    def learn_gap(self, run: EngineRun, longest_gap_ms: float) -> None:
         """Update the gap estimate from the longest gap of a complete stream."""
         if (
             run.overlapping_prefill_ms
@@ -208,7 +208,7 @@
                 self.traits.tokens_per_event,
             )
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove the runs of a closed connection."""
         dropped = [
             key for key, run in self.runs.items() if run.sender == sender
--- a/hornbeamdeck/scheduling/token_quota.py
+++ b/hornbeamdeck/scheduling/token_quota.py
@@ -43,12 +43,12 @@
 
     :param spent: tokens of a team in the last window, as reported by the
         ingresses.
-    :param is_remembered: whether those reports cover a whole window.
+    :param covers_window: whether those reports cover a whole window.
     :param share: share of the fleet's instances that this owner serves.
     """
 
     spent: Callable[[str], int]
-    is_remembered: Callable[[], bool]
+    covers_window: Callable[[], bool]
     share: Callable[[], float]
 
 
@@ -162,7 +162,7 @@
             self._buckets[team.name].level -= tokens
         return True
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Remove all buckets, since another instance is the owner now."""
         self._buckets.clear()
         self._is_first_start = False
@@ -218,7 +218,7 @@
         capacity = self._capacity(team)
         if self._is_first_start:
             return capacity
-        if not self._view.is_remembered():
+        if not self._view.covers_window():
             return 0.0
         refill = self._per_ms(team) * self._rules.window_ms
         remaining = capacity + refill - self._view.spent(team.name)
--- a/hornbeamdeck/scheduling/upstream_crash_tracker.py
+++ b/hornbeamdeck/scheduling/upstream_crash_tracker.py
@@ -44,7 +44,7 @@
         self._suspicions: dict[str, _Suspicion] = {}
         self._attributed_until_ms: dict[str, float] = {}
 
-    def crashes(self, fingerprint: str, now: float) -> int:
+    def crash_count(self, fingerprint: str, now: float) -> int:
         """Return the number of crashes attributed to a request."""
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is None:
@@ -54,9 +54,9 @@
             return 0
         return suspicion.crashes
 
-    def is_culprit(self, fingerprint: str, now: float) -> bool:
+    def is_confirmed_poison(self, fingerprint: str, now: float) -> bool:
         """Return whether a request is to be refused."""
-        return self.crashes(fingerprint, now) >= POISON_CRASHES
+        return self.crash_count(fingerprint, now) >= POISON_CRASHES
 
     def must_wait(
         self,
@@ -70,13 +70,15 @@
 
         :param running: fingerprints of all runs of the cell.
         """
-        if not self.crashes(fingerprint, now):
+        if not self.crash_count(fingerprint, now):
             return False
-        return any(self.crashes(other, now) for other in running)
+        return any(self.crash_count(other, now) for other in running)
 
-    def note(self, fingerprint: str, crashes: int, now: float) -> None:
+    def merge_crash_count(
+        self, fingerprint: str, crashes: int, now: float
+    ) -> None:
         """Apply the number of crashes that another owner has counted."""
-        crash_count = max(crashes, self.crashes(fingerprint, now))
+        crash_count = max(crashes, self.crash_count(fingerprint, now))
         self._suspicions[fingerprint] = _Suspicion(
             crash_count, now + RETENTION_MS
         )
@@ -112,7 +114,7 @@
         return Suspect(
             cell=upstream.service,
             fingerprint=suspect,
-            crashes=self.crashes(suspect, now),
+            crashes=self.crash_count(suspect, now),
         )
 
     def record_failure(
@@ -132,12 +134,12 @@
         """
         if now < self._attributed_until_ms.get(upstream, 0):
             return ''
-        suspects = {each for each in runs if self.crashes(each, now)}
+        suspects = {each for each in runs if self.crash_count(each, now)}
         suspect = fingerprint
         if len(suspects) == 1:
             # The other runs that fail with it in the next moments did not cause
             # the crash.
             suspect = suspects.pop()
             self._attributed_until_ms[upstream] = now + SAME_CRASH_MS
-        self.note(suspect, self.crashes(suspect, now) + 1, now)
+        self.merge_crash_count(suspect, self.crash_count(suspect, now) + 1, now)
         return suspect
--- a/hornbeamdeck/scheduling/upstream_load.py
+++ b/hornbeamdeck/scheduling/upstream_load.py
@@ -37,7 +37,7 @@
         self.speed = SpeedEstimate()
         self.runs: dict[str, Run] = {}
         self.prompt_tokens = 0
-        self.is_leaving = False
+        self.is_draining = False
         self._last_sample_ms = 0.0
         self._backoff_until_ms = 0.0
         self._backoff_ms = 0
@@ -55,7 +55,7 @@
         Otherwise an urgent request that arrives while long responses hold every
         slot would wait for one of them to end.
         """
-        if self.is_leaving or now < self._backoff_until_ms:
+        if self.is_draining or now < self._backoff_until_ms:
             return False
         max_running = self.upstream.max_running
         max_prompt_tokens = self.upstream.max_prompt_tokens
@@ -164,7 +164,7 @@
         if run is not None and run.is_prefilling:
             self.prompt_tokens -= run.prompt_tokens
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove the runs of a closed connection."""
         for request_id, run in tuple(self.runs.items()):
             if run.sender == sender:
--- a/hornbeamdeck/standin/batch.py
+++ b/hornbeamdeck/standin/batch.py
@@ -27,18 +27,18 @@
     """Durations and limits of a simulated engine.
 
     :param speed: divisor of every duration; 1 is the reference engine.
-    :param max_batch: maximum number of responses generated at the same time,
-        as limited by the engine's memory. Further admitted requests wait in
+    :param max_batch_size: maximum number of responses generated at the same
+        time, as limited by the engine's memory. Further admitted requests wait in
         the engine in order of arrival.
     """
 
     speed: float = 1
     step_ms: float = 8
-    step_per_answer_ms: float = 0.5
+    step_per_sequence_ms: float = 0.5
     prefill_token_ms: float = 0.05
     prefill_chunk_tokens: int = 512
     cache_blocks: int = 256
-    max_batch: int = 16
+    max_batch_size: int = 16
 
     @classmethod
     def from_config(cls, raw: dict[str, float]) -> Self:
@@ -74,7 +74,7 @@
     def __init__(self, model: EngineTiming) -> None:
         """Create an empty batch."""
         self.model = model
-        self.records = EngineCounters(
+        self.counters = EngineCounters(
             {},
             dict.fromkeys(COUNTER_NAMES, 0),
         )
@@ -83,7 +83,7 @@
         self._has_sequences = Event()
 
     @property
-    def running(self) -> int:
+    def running_requests(self) -> int:
         """Number of requests in the batch."""
         return len(self._sequences)
 
@@ -95,7 +95,7 @@
     async def async_admit(self, sequence: Sequence) -> None:
         """Add a request; like real engines, admit it at any load."""
         self._sequences.append(sequence)
-        self.peak_running = max(self.peak_running, self.running)
+        self.peak_running = max(self.peak_running, self.running_requests)
         await self._has_sequences.set()
 
     def cancel(self, sequence: Sequence) -> None:
@@ -104,7 +104,7 @@
             return
         self._sequences.remove(sequence)
         wasted = sequence.prefilled_tokens
-        self.records.counts['wasted_prefill_tokens'] += wasted
+        self.counters.counts['wasted_prefill_tokens'] += wasted
 
     async def async_run(self) -> None:
         """Run steps until cancelled; wait while the batch is empty."""
@@ -115,11 +115,11 @@
             await self._async_step()
 
     async def _async_step(self) -> None:
-        active = self._sequences[: self.model.max_batch]
+        active = self._sequences[: self.model.max_batch_size]
         decoding = [each for each in active if not each.prefill_tokens_left]
         prefilled = self._prefill(active)
         model = self.model
-        step_ms = model.step_ms + model.step_per_answer_ms * len(decoding)
+        step_ms = model.step_ms + model.step_per_sequence_ms * len(decoding)
         step_ms += model.prefill_token_ms * prefilled
         await sleep(step_ms / model.speed / MILLIS_PER_SECOND)
         for sequence in decoding:
@@ -133,13 +133,13 @@
             sequence.prefilled_tokens += tokens
             tokens_left -= tokens
         prefilled_tokens = self.model.prefill_chunk_tokens - tokens_left
-        self.records.counts['prefilled_tokens'] += prefilled_tokens
+        self.counters.counts['prefilled_tokens'] += prefilled_tokens
         return prefilled_tokens
 
     async def _async_decode(self, sequence: Sequence) -> None:
         if sequence not in self._sequences:
             return
-        self.records.counts['output'] += 1
+        self.counters.counts['output'] += 1
         sequence.output_tokens_left -= 1
         await sequence.output.put(sequence.output_tokens_left)
         if sequence.output_tokens_left <= 0:
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -97,7 +97,7 @@
         while True:
             self._reports.append(
                 {
-                    'running': self.batch.running,
+                    'running': self.batch.running_requests,
                     'queued_prompt_tokens': self.batch.queued_prompt_tokens,
                 },
             )
@@ -125,7 +125,7 @@
             events = [each._asdict() for each in self.cache.events(after)]
             return json_response(HTTPStatus.OK, {'events': events})
         if request.path == '/standin/records':
-            records = self.batch.records
+            records = self.batch.counters
             return json_response(
                 HTTPStatus.OK, {'runs': records.runs, **records.counts}
             )
@@ -160,7 +160,7 @@
             await self.on_crash()
             return
         if self.break_mark and self.break_mark in prompt and self.on_outage:
-            self.batch.records.counts['breaks'] += 1
+            self.batch.counters.counts['breaks'] += 1
             await spawn(self.on_outage, BREAK_OUTAGE_MS, daemon=True)
             await sleep(1)
             return
@@ -182,7 +182,7 @@
             self.batch.cancel(sequence)
 
     def _count_run(self, request: HttpRequest) -> None:
-        runs = self.batch.records.runs
+        runs = self.batch.counters.runs
         request_id = request.headers.get(HEADER_REQUEST_ID, 'none')
         runs.setdefault(request_id, 0)
         runs[request_id] += 1
@@ -227,10 +227,10 @@
     connection: ServerConnection,
 ) -> None:
     headers = {'content-type': 'text/event-stream'}
-    await connection.async_start(HTTPStatus.OK, headers)
+    await connection.async_start_response(HTTPStatus.OK, headers)
     async for encoded in _async_encode_events(words, body):
-        await connection.async_send(encoded)
-    await connection.async_end()
+        await connection.async_send_chunk(encoded)
+    await connection.async_end_response()
 
 
 async def _async_encode_events(
--- a/hornbeamdeck/standin/platform.py
+++ b/hornbeamdeck/standin/platform.py
@@ -60,8 +60,8 @@
     def __init__(self) -> None:
         """Create a store without objects or faults."""
         self.switches = FaultSwitches()
-        self.calls: dict[str, int] = {}
-        self.listed: dict[str, str] = {}
+        self.calls_by_role: dict[str, int] = {}
+        self.instance_states: dict[str, str] = {}
         self._stored: dict[str, _VersionedObject] = {}
         self._revision = 0
         self._events: list[dict[str, Any]] = []
@@ -78,7 +78,7 @@
             await connection.async_respond(self._handle_switches(request))
             return
         role = request.headers.get('hornbeamdeck-role', 'none')
-        self.calls[role] = self.calls.get(role, 0) + 1
+        self.calls_by_role[role] = self.calls_by_role.get(role, 0) + 1
         if self.switches.is_down:
             return
         response = await self._async_route(request)
@@ -109,10 +109,10 @@
             timeout_ms=PROBE_TIMEOUT_MS,
         )
         if isinstance(connected, Err):
-            self.listed.pop(address, None)
+            self.instance_states.pop(address, None)
             return
         await connected.ok_value.close()
-        self.listed[address] = status['state']
+        self.instance_states[address] = status['state']
 
     async def _async_route(self, request: HttpRequest) -> HttpResponse:
         path = unquote(request.path)
@@ -137,16 +137,16 @@
         if request.path == '/standin/switches':
             self.switches = self.switches._replace(**body)
         if request.path == '/standin/instances':
-            self.listed.update(body)
+            self.instance_states.update(body)
         return json_response(
             HTTPStatus.OK,
-            {'switches': self.switches._asdict(), 'calls': self.calls},
+            {'switches': self.switches._asdict(), 'calls': self.calls_by_role},
         )
 
     def _instances(self) -> list[dict[str, str]]:
         return [
             {'address': address, 'state': state}
-            for address, state in self.listed.items()
+            for address, state in self.instance_states.items()
         ]
 
     def _list(self, prefix: str) -> dict[str, Any]:
--- a/hornbeamdeck/standin/resumable_streams.py
+++ b/hornbeamdeck/standin/resumable_streams.py
@@ -41,7 +41,7 @@
 
     def __init__(self, batch: Batch) -> None:
         """Create an empty collection of streams."""
-        self.grace_s = RESUME_GRACE_S
+        self.resume_grace_s = RESUME_GRACE_S
         self._batch = batch
         self._streams: dict[str, _Stream] = {}
 
@@ -114,7 +114,7 @@
         stream = self._streams.get(stream_id)
         if stream is None:
             return
-        await sleep(self.grace_s)
+        await sleep(self.resume_grace_s)
         if not stream.readers:
             await self.async_cancel(stream_id)
 
@@ -143,14 +143,14 @@
     connection: ServerConnection,
 ) -> None:
     headers = {'content-type': 'text/event-stream', HEADER_STREAM_ID: stream_id}
-    await connection.async_start(HTTPStatus.OK, headers)
+    await connection.async_start_response(HTTPStatus.OK, headers)
     while True:
         unsent = bytes(stream.output[offset:])
         offset += len(unsent)
         if unsent:
-            await connection.async_send(unsent)
+            await connection.async_send_chunk(unsent)
         elif stream.is_done:
-            await connection.async_end()
+            await connection.async_end_response()
             return
         else:
             await stream.output_added.wait()
--- a/hornbeamdeck/version/entities.py
+++ b/hornbeamdeck/version/entities.py
@@ -53,7 +53,7 @@
         """Whether model engines serve it."""
         return self.kind == KIND_MODEL
 
-    def may_repeat(self, method: str, path: str) -> bool:
+    def is_idempotent(self, method: str, path: str) -> bool:
         """Whether a call may run more than once.
 
         Paths are normalized first. An upstream may treat `//Bookings`,
--- a/hornbeamdeck/version/gateway.py
+++ b/hornbeamdeck/version/gateway.py
@@ -53,7 +53,7 @@
         milliseconds; 0: the route has no streams.
     :param timeout_ms: longest time that a request may take, milliseconds.
     :param priority: rank; 0 is served first.
-    :param max_dispatches: largest number of upstreams that one request may be
+    :param max_attempts: largest number of upstreams that one request may be
         sent to.
     """
 
@@ -66,7 +66,7 @@
     gap_ms: int
     timeout_ms: int
     priority: int
-    max_dispatches: int
+    max_attempts: int
     is_public: bool
     is_resumable: bool
 
@@ -76,7 +76,7 @@
         return self.kind == RouteKind.STREAMING
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may run on a second upstream."""
         return self.kind == RouteKind.IDEMPOTENT or self.is_resumable
 
@@ -99,14 +99,15 @@
     :param priority: replaces the priority of the route; `None`: it does not.
     :param rate_per_s: tokens per second; 0: no limit.
     :param burst: tokens that may be spent at once in excess of the rate.
-    :param plain_tokens: tokens charged for a request without token counts.
+    :param default_request_tokens: tokens charged for a request without token
+        counts.
     """
 
     name: str
     priority: int | None
     rate_per_s: float
     burst: float
-    plain_tokens: int
+    default_request_tokens: int
 
 
 class EngineProperties(NamedTuple):
--- a/tests/connection/test_connection_pool.py
+++ b/tests/connection/test_connection_pool.py
@@ -35,11 +35,11 @@
 ) -> None:
     for each in connections:
         typed = cast(ClientConnection, each)
-        curio.run(pool.async_keep, 'e1', typed, idle_ms)
+        curio.run(pool.async_release, 'e1', typed, idle_ms)
 
 
 def _acquire(pool: ConnectionPool) -> object:
-    return curio.run(pool.async_take, 'e1')
+    return curio.run(pool.async_acquire, 'e1')
 
 
 def test_last_used_connection_is_taken_first() -> None:
@@ -90,7 +90,7 @@
     pool = ConnectionPool(lambda: 1)
     both = (_FakeConnection(), _FakeConnection())
     _release(pool, *both)
-    curio.run(pool.async_drop, 'e1')
+    curio.run(pool.async_close_engine, 'e1')
     assert not any(each.is_open for each in both)
     assert _acquire(pool) is None
 
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -11,7 +11,7 @@
 
 
 async def _async_until_running(fleet: Fleet, count: int) -> None:
-    while fleet.engines[0].batch.running < count:
+    while fleet.engines[0].batch.running_requests < count:
         await sleep(0.005)
 
 
@@ -33,7 +33,7 @@
             assert engine.on_cut is not None
             await engine.on_cut()
     assert [each.is_whole for each in calls.results] == [True] * CALLS
-    assert set(engine.batch.records.runs.values()) == {1}
+    assert set(engine.batch.counters.runs.values()) == {1}
 
 
 @on_fleet(PLAN)
@@ -63,7 +63,7 @@
     caller has disconnected.
     """
     # Without a cancel request the engine waits a minute for a resume.
-    fleet.engines[0].streams.grace_s = 60
+    fleet.engines[0].streams.resume_grace_s = 60
     address = fleet.instances[0].own.address
     entry = completion_entry(output_tokens=5000)
     call = await spawn(async_call, entry, 1, address)
@@ -71,9 +71,9 @@
     await sleep(0.1)
     await call.cancel()
     for _ in range(500):
-        if not fleet.engines[0].batch.running:
+        if not fleet.engines[0].batch.running_requests:
             break
         await sleep(0.01)
-    assert not fleet.engines[0].batch.running
-    load = fleet.owner_of('desk').parts.scheduler.cells['desk'].loads
+    assert not fleet.engines[0].batch.running_requests
+    load = fleet.owner_of('desk').components.scheduler.cells['desk'].loads
     assert not load['engine-0'].runs
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -19,7 +19,7 @@
         outcome='ran',
         code='',
         request_id='r1',
-        is_whole=True,
+        is_complete=True,
         first_token_ms=20,
         total_ms=100,
         retry_after_s=0,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -17,7 +17,7 @@
     """A platform with conditional writes and simulated faults.
 
     While `fault` is set, calls fail before (`down`) or after (`lost`) they take
-    effect. Faults in `coming` apply to the next calls, one for each, and take
+    effect. Faults in `next_faults` apply to the next calls, one for each, and take
     precedence over `fault`.
     """
 
@@ -26,7 +26,7 @@
         self.stored: dict[str, StoredObject] = {}
         self.version = 0
         self.fault = ''
-        self.coming: list[str] = []
+        self.next_faults: list[str] = []
 
     async def async_get(
         self,
@@ -80,7 +80,7 @@
         return self._write_result(fault)
 
     def _next_fault(self) -> str:
-        return self.coming.pop(0) if self.coming else self.fault
+        return self.next_faults.pop(0) if self.next_faults else self.fault
 
     def _meets_condition(self, key: str, expected: int | None) -> bool:
         stored = self.stored.get(key)
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -74,7 +74,7 @@
             EngineStandin('counter-1'),
             EngineStandin('counter-2'),
         ]
-        self.fronts: list[Gateway] = []
+        self.gateways: list[Gateway] = []
 
     async def async_start(self, count: int) -> None:
         """Start store, engines and gateways, and wait until all are ready."""
@@ -86,18 +86,19 @@
             entry = engine.entry(service)
             await self.store.async_put('servers', engine.name, entry)
         for number in range(count):
-            await self.async_add_front(number)
+            await self.async_add_gateway(number)
         await self.async_until(
-            lambda: all(front.is_ready for front in self.fronts)
+            lambda: all(front.is_ready for front in self.gateways)
         )
         await self.async_until(
             lambda: all(
-                len(front.parts.beats.attendance.usable()) == count
-                for front in self.fronts
+                len(front.components.heartbeats.liveness.serving_instances())
+                == count
+                for front in self.gateways
             ),
         )
 
-    async def async_add_front(
+    async def async_add_gateway(
         self,
         number: int,
         *,
@@ -116,12 +117,12 @@
         )
         front = Gateway(settings, PLATFORM_ADAPTER)
         await front.async_start()
-        self.fronts.append(front)
+        self.gateways.append(front)
         return front
 
     async def async_stop(self) -> None:
         """Kill all gateways."""
-        for front in self.fronts:
+        for front in self.gateways:
             await front.async_kill()
 
     async def async_until(self, condition: Callable[[], bool]) -> None:
@@ -148,14 +149,14 @@
         :param front: index of the gateway in `fronts`.
         """
         return await async_fetch(
-            self.fronts[front].parts.membership.own.address,
+            self.gateways[front].components.membership.own_status.address,
             make_request(path, tokens=tokens, **headers),
         )
 
     async def async_open(self, front: int = 0) -> ClientConnection:
         """Open a client connection to a gateway."""
         opened = await ClientConnection.async_open(
-            self.fronts[front].parts.membership.own.address,
+            self.gateways[front].components.membership.own_status.address,
             timeout_ms=2000,
         )
         return opened.unwrap()
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -270,7 +270,7 @@
         fault: str,
     ) -> None:
         if fault == 'reset':
-            caller.abort()
+            caller.reset_on_close()
             return
         if fault == 'silent':
             await sleep(3600)
@@ -303,16 +303,16 @@
     ) -> None:
         start = int(request.headers.get('last-event-id', '0'))
         stream = {**headers, 'content-type': 'text/event-stream'}
-        await caller.async_start(200, stream)
+        await caller.async_start_response(200, stream)
         for number in range(start + 1, self.events + 1):
             event = f'id: {number}\ndata: word {number}\n\n'.encode()
             if fault == 'cut' and number == 2:
-                await caller.async_send(event[:9])
-                caller.abort()
+                await caller.async_send_chunk(event[:9])
+                caller.reset_on_close()
                 return
-            await caller.async_send(event)
+            await caller.async_send_chunk(event)
             await sleep(self.event_gap_s)
-        await caller.async_end()
+        await caller.async_end_response()
 
 
 def document(**changes: Any) -> dict[str, Any]:
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -40,11 +40,11 @@
 def test_request_is_decoded() -> None:
     decoded = _decoded()
     assert decoded.host == 'walks.example'
-    assert decoded.key == 'some-key'
-    assert decoded.patience_ms == 1500
+    assert decoded.bearer_key == 'some-key'
+    assert decoded.client_timeout_ms == 1500
     assert (decoded.prompt_tokens, decoded.output_tokens) == (1460, 80)
     assert decoded.expected_tokens == 40
-    assert decoded.prompt_parts == ('5c1e07a2', 'e4402b7d')
+    assert decoded.prompt_part_ids == ('5c1e07a2', 'e4402b7d')
 
 
 @pytest.mark.parametrize('text', ['', 'x', '-5', '9' * 5000, '١٢', '1e9', ','])
@@ -54,7 +54,7 @@
         hornbeamdeck_length_hint=text,
         hornbeamdeck_deadline_ms=text,
     )
-    assert decoded.patience_ms > 0
+    assert decoded.client_timeout_ms > 0
     assert 0 <= decoded.prompt_tokens <= 10_000_000
 
 
@@ -113,25 +113,25 @@
     ('status', 'headers', 'verdict'),
     [
         (200, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
-        (200, {}, ResponseVerdict.NOT_ITS_ANSWER),
+        (200, {}, ResponseVerdict.INVALID_RESPONSE),
         (500, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
         (504, {}, ResponseVerdict.RAN),
-        (503, {'hornbeamdeck-not-executed': '1'}, ResponseVerdict.NOT_RUN),
-        (503, {}, ResponseVerdict.NOT_ITS_ANSWER),
-        (429, {}, ResponseVerdict.NOT_ITS_ANSWER),
-        (421, {}, ResponseVerdict.OTHER_ENGINE),
+        (503, {'hornbeamdeck-not-executed': '1'}, ResponseVerdict.REJECTED),
+        (503, {}, ResponseVerdict.INVALID_RESPONSE),
+        (429, {}, ResponseVerdict.INVALID_RESPONSE),
+        (421, {}, ResponseVerdict.MISDIRECTED),
         (
             200,
             {
                 'hornbeamdeck-response-seal': 's',
                 'hornbeamdeck-request-id': 'id-2',
             },
-            ResponseVerdict.NOT_ITS_ANSWER,
+            ResponseVerdict.INVALID_RESPONSE,
         ),
         (
             200,
             {'hornbeamdeck-response-seal': 's', 'content-encoding': 'gzip'},
-            ResponseVerdict.NOT_ITS_ANSWER,
+            ResponseVerdict.INVALID_RESPONSE,
         ),
     ],
 )
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -90,7 +90,7 @@
     assert engine is not None
     assert str(engine.address) == '10.0.0.1:80'
     assert engine.born_ms == 12
-    assert not engine.is_leaving
+    assert not engine.is_draining
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_end_to_end.py
+++ b/tests/platform/test_end_to_end.py
@@ -41,7 +41,7 @@
     fleet: PlatformFleet,
 ) -> None:
     request = HttpRequest('GET', '/v1/resolve', 'name=walks.example', {}, b'')
-    for front in fleet.fronts:
+    for front in fleet.gateways:
         got = await async_fetch(front.listeners[1].address, request)
         assert len(json.loads(got.body)['addresses']) == 3
 
@@ -75,7 +75,7 @@
     await fleet.store.async_put('config', 'main', document(routes=added))
     await fleet.async_until(
         lambda: (
-            fleet.fronts[0].parts.follower.configuration.find_route(
+            fleet.gateways[0].components.follower.configuration.find_route(
                 'walks.example',
                 '/new/x',
             )
@@ -92,7 +92,7 @@
     A stale read or a lagging peer may deliver an old configuration. If it were
     applied, a revoked key would be accepted again.
     """
-    follower = fleet.fronts[0].parts.follower
+    follower = fleet.gateways[0].components.follower
     newest = follower.configuration.version
     old = follower.configuration.document
 
@@ -114,7 +114,7 @@
     await fleet.async_until(
         lambda: (
             len(
-                fleet.fronts[0].parts.follower.configuration.routes[
+                fleet.gateways[0].components.follower.configuration.routes[
                     'walks.example'
                 ],
             )
--- a/tests/platform/test_engine_faults.py
+++ b/tests/platform/test_engine_faults.py
@@ -182,8 +182,8 @@
     engine = fleet.booking_engines[0]
     entry = engine.entry('counter', state='draining')
     await fleet.store.async_put('servers', engine.name, entry)
-    directory = fleet.fronts[0].parts.directory
-    await fleet.async_until(lambda: directory.engines[engine.name].is_leaving)
+    directory = fleet.gateways[0].components.directory
+    await fleet.async_until(lambda: directory.engines[engine.name].is_draining)
     for _ in range(4):
         assert (await fleet.async_call('/seats/x')).status == 200
     assert not engine.executed
@@ -215,7 +215,7 @@
         'counter-9',
         fleet.booking_engines[1].entry('counter', slots=7),
     )
-    directory = fleet.fronts[0].parts.directory
+    directory = fleet.gateways[0].components.directory
     await fleet.async_until(lambda: 'counter-9' in directory.engines)
     assert not any(name.startswith('odd') for name in directory.engines)
     await sleep(0)
@@ -233,13 +233,13 @@
     prompts off engines.
     """
     gaps_ms = []
-    learn_pause = EngineLoad.learn_pause
+    learn_pause = EngineLoad.learn_gap
 
     def _record_gap(load: EngineLoad, run: EngineRun, gap_ms: float) -> None:
         gaps_ms.append(gap_ms)
         learn_pause(load, run, gap_ms)
 
-    with patch.object(EngineLoad, 'learn_pause', _record_gap):
+    with patch.object(EngineLoad, 'learn_gap', _record_gap):
         for engine in fleet.model_engines:
             engine.event_gap_s = 0.02
         await fleet.async_call('/guide/x', tokens=TOKEN_COUNTS)
--- a/tests/platform/test_fleet_faults.py
+++ b/tests/platform/test_fleet_faults.py
@@ -9,8 +9,8 @@
 def _owner(fleet: PlatformFleet) -> int:
     return next(
         number
-        for number, front in enumerate(fleet.fronts)
-        if front.parts.is_owner
+        for number, front in enumerate(fleet.gateways)
+        if front.components.is_owner
     )
 
 
@@ -24,7 +24,7 @@
     requests of the other instances, and none of them may run twice.
     """
     owner = _owner(fleet)
-    await fleet.fronts[owner].async_kill()
+    await fleet.gateways[owner].async_kill()
     survivors = [number for number in range(3) if number != owner]
     for number in survivors:
         got = await fleet.async_call('/seats/pay/x', number)
@@ -32,7 +32,12 @@
     assert sum(len(engine.executed) for engine in fleet.booking_engines) == 2
     await fleet.async_until(
         lambda: all(
-            len(fleet.fronts[number].parts.beats.attendance.usable()) == 2
+            len(
+                fleet.gateways[
+                    number
+                ].components.heartbeats.liveness.serving_instances()
+            )
+            == 2
             for number in survivors
         ),
     )
@@ -51,17 +56,19 @@
     for engine in fleet.model_engines:
         engine.event_gap_s = 0.3
     stream = await spawn(fleet.async_call('/note/x', 0, tokens=TOKEN_COUNTS))
-    await fleet.async_until(lambda: fleet.fronts[0].in_flight == 1)
-    stopping = await spawn(fleet.fronts[0].async_stop())
+    await fleet.async_until(lambda: fleet.gateways[0].in_flight == 1)
+    stopping = await spawn(fleet.gateways[0].async_stop())
     await sleep(0.1)
-    assert not fleet.fronts[0].is_ready
+    assert not fleet.gateways[0].is_ready
     new_request = await fleet.async_call('/seats/x', 0)
     assert new_request.status == 200
     assert new_request.headers['connection'] == 'close'
     got = await stream.join()
     assert got.body.count(b'data: word') == 3
     assert await stopping.join() == 0
-    usable = fleet.fronts[1].parts.beats.attendance.usable()
+    usable = fleet.gateways[
+        1
+    ].components.heartbeats.liveness.serving_instances()
     assert [each.instance_id for each in usable] == ['front-1']
     assert 'front-0' not in fleet.store.stored_objects['instances']
 
@@ -83,8 +90,8 @@
     )
     await fleet.async_until(
         lambda: all(
-            front.parts.follower.configuration.version == version
-            for front in fleet.fronts
+            front.components.follower.configuration.version == version
+            for front in fleet.gateways
         ),
     )
     owner = _owner(fleet)
@@ -96,13 +103,18 @@
     assert (
         await fleet.async_call('/note/x', caller, tokens=large)
     ).status == 429
-    successors = [front for front in fleet.fronts if not front.parts.is_owner]
+    successors = [
+        front for front in fleet.gateways if not front.components.is_owner
+    ]
     await fleet.async_until(
         lambda: all(
-            front.parts.beats._parts.reports.spent('guides') >= 69_000
+            front.components.heartbeats._parts.spending_reports.tokens_spent(
+                'guides'
+            )
+            >= 69_000
             for front in successors
         ),
     )
-    await fleet.fronts[owner].async_kill()
+    await fleet.gateways[owner].async_kill()
     got = await fleet.async_call('/note/x', caller, tokens=large)
     assert got.status == 429
--- a/tests/platform/test_stale_instance.py
+++ b/tests/platform/test_stale_instance.py
@@ -15,13 +15,13 @@
 
 async def _async_stop_background_tasks(fleet: PlatformFleet) -> None:
     """Cancel all background tasks to simulate a starved process."""
-    for task in fleet.fronts[0]._tasks:
+    for task in fleet.gateways[0]._tasks:
         await task.cancel()
 
 
 async def _async_wait_until_stale(fleet: PlatformFleet) -> None:
     """Wait until the instance's data is older than STALE_AFTER_MS."""
-    parts = fleet.fronts[0].parts
+    parts = fleet.gateways[0].components
     await fleet.async_until(
         lambda: (
             parts.freshness.age_ms(
