--- a/tests/platform/test_store_faults.py
+++ b/tests/platform/test_store_faults.py
@@ -25,7 +25,7 @@
     instance must refuse requests that need a key, with a retry-after time, and
     must still serve the public route.
     """
-    front = fleet.fronts[0]
+    front = fleet.gateways[0]
     fleet.store.is_silent = True
     bounds = front.settings.bounds._replace(
         revocation_ms=REVOCATION_MARGIN_MS + 200,
@@ -33,8 +33,8 @@
     front.settings = front.settings._replace(bounds=bounds)
     await fleet.async_until(
         lambda: (
-            front.parts.freshness.age_ms(
-                front.parts.follower.configuration.version,
+            front.components.freshness.age_ms(
+                front.components.follower.configuration.version,
                 now_ms(),
             )
             > 300
@@ -58,9 +58,10 @@
     silent_store = StoreStandin()
     silent_store.is_silent = True
     seeds = [
-        str(front.parts.membership.own.peer_address) for front in fleet.fronts
+        str(front.components.membership.own_status.peer_address)
+        for front in fleet.gateways
     ]
-    isolated = await fleet.async_add_front(
+    isolated = await fleet.async_add_gateway(
         9,
         store=await silent_store.async_start(),
         seeds=tuple(seeds),
@@ -69,11 +70,11 @@
     assert (await fleet.async_call('/seats/x', -1)).status == 200
     await fleet.store.async_put('config', 'main', _document_without_keys())
     await fleet.async_until(
-        lambda: not isolated.parts.follower.configuration.teams_by_key,
+        lambda: not isolated.components.follower.configuration.teams_by_key,
     )
     assert (await fleet.async_call('/seats/x', -1)).status == 401
-    age_ms = isolated.parts.freshness.age_ms(
-        isolated.parts.follower.configuration.version,
+    age_ms = isolated.components.freshness.age_ms(
+        isolated.components.follower.configuration.version,
         now_ms(),
     )
     assert age_ms < isolated.settings.bounds.revocation_ms
@@ -85,20 +86,20 @@
 ) -> None:
     fleet.store.oldest_revision = 10_000
     await fleet.store.async_put('config', 'main', _document_without_keys())
-    follower = fleet.fronts[0].parts.follower
+    follower = fleet.gateways[0].components.follower
     await fleet.async_until(lambda: not follower.configuration.teams_by_key)
     engine = fleet.booking_engines[0]
     entry = engine.entry('counter', state='draining')
     await fleet.store.async_put('servers', engine.name, entry)
-    directory = fleet.fronts[0].parts.directory
-    await fleet.async_until(lambda: directory.engines[engine.name].is_leaving)
+    directory = fleet.gateways[0].components.directory
+    await fleet.async_until(lambda: directory.engines[engine.name].is_draining)
 
 
 @on_platform()
 async def test_rejected_store_calls_are_retried(fleet: PlatformFleet) -> None:
     fleet.store.next_statuses = [429, 503, 429, 503]
     await fleet.store.async_put('config', 'main', _document_without_keys())
-    follower = fleet.fronts[0].parts.follower
+    follower = fleet.gateways[0].components.follower
     await fleet.async_until(lambda: not follower.configuration.teams_by_key)
 
 
@@ -118,10 +119,10 @@
         fleet.store.stored_objects['servers'].pop(engine.name)
     fleet.store.is_silent = False
     await fleet.async_until(
-        lambda: fleet.fronts[0].parts.directory.age_ms(now_ms()) < 300,
+        lambda: fleet.gateways[0].components.directory.age_ms(now_ms()) < 300,
     )
     assert (await fleet.async_call('/open/x')).status == 200
-    directory = fleet.fronts[0].parts.directory
+    directory = fleet.gateways[0].components.directory
     await fleet.async_until(
         lambda: fleet.booking_engines[0].name not in directory.engines,
     )
@@ -138,7 +139,7 @@
     before = fleet.store.calls
     await sleep(3)
     assert fleet.store.calls - before < 3 * 2 * 5
-    readers = [front for front in fleet.fronts if front.parts.is_owner]
+    readers = [front for front in fleet.gateways if front.components.is_owner]
     assert len(readers) == 1
 
 
@@ -151,10 +152,10 @@
     A process is killed and restarts with the same instance ID. Its status in
     the store is that of the earlier incarnation until it writes its own.
     """
-    await fleet.fronts[0].async_kill()
-    restarted = await fleet.async_add_front(0)
+    await fleet.gateways[0].async_kill()
+    restarted = await fleet.async_add_gateway(0)
     await fleet.async_until(lambda: restarted.is_ready)
-    incarnation = restarted.parts.membership.own.incarnation
+    incarnation = restarted.components.membership.own_status.incarnation
     await fleet.async_until(
         lambda: (
             fleet.store.stored_objects['instances']['front-0']['spec'][
@@ -175,7 +176,7 @@
     for all instances. The other instances must read the configuration instead
     and send it to the owner.
     """
-    ids = [front.settings.instance_id for front in fleet.fronts]
+    ids = [front.settings.instance_id for front in fleet.gateways]
     owner_number = next(
         number
         for number in range(10, 99)
@@ -185,9 +186,10 @@
     silent_store = StoreStandin()
     silent_store.is_silent = True
     seeds = [
-        str(front.parts.membership.own.peer_address) for front in fleet.fronts
+        str(front.components.membership.own_status.peer_address)
+        for front in fleet.gateways
     ]
-    owner = await fleet.async_add_front(
+    owner = await fleet.async_add_gateway(
         owner_number,
         store=await silent_store.async_start(),
         seeds=tuple(seeds),
@@ -195,8 +197,10 @@
     await fleet.async_until(
         lambda: (
             owner.is_ready
-            and owner.parts.is_owner
-            and not any(front.parts.is_owner for front in fleet.fronts[:2])
+            and owner.components.is_owner
+            and not any(
+                front.components.is_owner for front in fleet.gateways[:2]
+            )
         ),
     )
     version = await fleet.store.async_put(
@@ -204,8 +208,8 @@
     )
     await fleet.async_until(
         lambda: all(
-            front.parts.follower.configuration.version == version
-            for front in fleet.fronts
+            front.components.follower.configuration.version == version
+            for front in fleet.gateways
         ),
     )
     assert (await fleet.async_call('/seats/x', -1)).status == 401
--- a/tests/process/test_engine_directory.py
+++ b/tests/process/test_engine_directory.py
@@ -14,7 +14,7 @@
 def test_confirmation_of_a_newer_list_does_not_confirm_an_older_one() -> None:
     """Guards against a stale list that counts as current and is not reread."""
     directory = EngineDirectory()
-    directory.adopt(100, [_engine(is_leaving=False)])
+    directory.update(100, [_engine(is_leaving=False)])
     directory.confirm(105, 5000)
     assert directory.confirmed_ms == -math.inf
 
@@ -23,7 +23,7 @@
     """Guards against unnecessary reads after a list was adopted."""
     directory = EngineDirectory()
     directory.confirm(95, 5000)
-    directory.adopt(100, [_engine(is_leaving=True)])
+    directory.update(100, [_engine(is_leaving=True)])
     assert directory.confirmed_ms == 5000
 
 
@@ -32,12 +32,12 @@
     directory = EngineDirectory()
     version = directory.version_for_revision(100)
     assert version is not None
-    directory.adopt(version, [_engine(is_leaving=True)])
+    directory.update(version, [_engine(is_leaving=True)])
     assert directory.version_for_revision(99) is None
     again = directory.version_for_revision(100)
     assert again is not None
     assert again > version
-    directory.adopt(again, [_engine(is_leaving=True)])
+    directory.update(again, [_engine(is_leaving=True)])
     later = EngineDirectory().version_for_revision(101)
     assert later is not None
     assert later > again
@@ -46,12 +46,12 @@
 def test_engine_has_left_when_it_drains_or_is_no_longer_listed() -> None:
     """Guards against grants that are used after their engine was removed."""
     directory = EngineDirectory()
-    assert not directory.has_left('engine-1')
-    directory.adopt(1, [_engine(is_leaving=False)])
-    assert not directory.has_left('engine-1')
-    directory.adopt(2, [_engine(is_leaving=True)])
-    assert directory.has_left('engine-1')
-    directory.adopt(3, [])
-    assert directory.has_left('engine-1')
-    directory.adopt(4, [_engine(is_leaving=False)])
-    assert not directory.has_left('engine-1')
+    assert not directory.is_draining_or_removed('engine-1')
+    directory.update(1, [_engine(is_leaving=False)])
+    assert not directory.is_draining_or_removed('engine-1')
+    directory.update(2, [_engine(is_leaving=True)])
+    assert directory.is_draining_or_removed('engine-1')
+    directory.update(3, [])
+    assert directory.is_draining_or_removed('engine-1')
+    directory.update(4, [_engine(is_leaving=False)])
+    assert not directory.is_draining_or_removed('engine-1')
--- a/tests/process/test_gateway_metrics.py
+++ b/tests/process/test_gateway_metrics.py
@@ -9,10 +9,10 @@
 def test_recorded_counts_are_exported() -> None:
     """Guards against exported metrics that differ from the recorded counts."""
     metrics = GatewayMetrics()
-    metrics.ended('desk', 0, 'answered', 300)
-    metrics.ended('desk', 0, 'answered', 30_000)
-    metrics.first_token(120)
-    metrics.refused('no_route')
+    metrics.count_request('desk', 0, 'answered', 300)
+    metrics.count_request('desk', 0, 'answered', 30_000)
+    metrics.record_first_token(120)
+    metrics.count_refusal('no_route')
     metrics.count_store_call('engines')
     metrics.count_peer_bytes('sent', 17)
     metrics.count_dropped_log_line()
--- a/tests/process/test_heartbeats.py
+++ b/tests/process/test_heartbeats.py
@@ -78,11 +78,11 @@
                 freshness=self.freshness,
                 directory=EngineDirectory(),
                 spending=SpendingLog(8000),
-                reports=SpendingReports(8000),
-                version=lambda: VERSION,
-                slowness=dict,
-                learn_slowness=lambda _learned: None,
-                on_engines=lambda: None,
+                spending_reports=SpendingReports(8000),
+                configuration_version=lambda: VERSION,
+                engine_slowness=dict,
+                apply_slowness=lambda _learned: None,
+                on_engines_changed=lambda: None,
                 is_store_reached=lambda: True,
                 is_first_start=False,
             ),
@@ -121,10 +121,12 @@
     async def _async_deliver(message: Message) -> None:
         responses.append(cast(Beat, message))
 
-    await receiver.beats.async_answer(sender.name, request, _async_deliver)
+    await receiver.beats.async_handle_request(
+        sender.name, request, _async_deliver
+    )
     receiver.clock.true_ms += next(delay)
     sender.activate()
-    await sender.beats.async_receive(receiver.name, responses[0])
+    await sender.beats.async_handle_response(receiver.name, responses[0])
 
 
 def _exchange_all(
@@ -174,7 +176,7 @@
         """Discard the response."""
 
     curio.run(
-        receiver.beats.async_answer,
+        receiver.beats.async_handle_request,
         sender.name,
         beat,
         _async_deliver,
@@ -219,7 +221,7 @@
     assert node.beats._make_heartbeat('peer').status
     assert not node.beats._make_heartbeat('peer').status
     assert node.beats._make_heartbeat('another').status
-    node.beats.forget_told('peer')
+    node.beats.forget_sent('peer')
     assert node.beats._make_heartbeat('peer').status
 
 
@@ -233,7 +235,7 @@
     node = _Node(clock, 'one', 0)
     node.beats._make_heartbeat('peer')
     membership = node.beats._parts.membership
-    membership.own = membership.own._replace(state=STATE_DRAINING)
+    membership.own_status = membership.own_status._replace(state=STATE_DRAINING)
     assert STATE_DRAINING in node.beats._make_heartbeat('peer').status
     clock.true_ms += sent_updates.STATUS_RESEND_MS
     assert node.beats._make_heartbeat('peer').status
@@ -269,7 +271,7 @@
             change = StoredObject(
                 f'instances/{other}', 0, _status(other).to_text()
             )
-            parts.membership.note_status(change)
+            parts.membership.apply_status(change)
         fleet.append((node, links))
     return fleet
 
@@ -288,7 +290,7 @@
     random.seed(1)
     fleet = _large_fleet(clock)
     for node, _ in fleet:
-        curio.run(node.beats.async_beat)
+        curio.run(node.beats.async_send_heartbeats)
     assert 0 < _most_contacted(fleet) <= FLEET * 2 / 3
 
 
@@ -302,7 +304,7 @@
     fleet = _large_fleet(clock)
     for node, _ in fleet:
         membership = node.beats._parts.membership
-        for first in membership.ranked('fleet')[
+        for first in membership.ranked_ids('fleet')[
             : liveness.HEARTBEAT_RECEIVERS + 1
         ]:
             membership.suspect(first)
@@ -312,10 +314,12 @@
         target
         for node, _ in fleet
         for target in node.beats._targets()
-        if target in node.beats._parts.membership.suspects
+        if target in node.beats._parts.membership.suspected
     )
     assert sum(probed.values()) == 0
-    assert node.beats._pace.beat_ms > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
+    assert (
+        node.beats._pace.interval_ms > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
+    )
 
 
 @given(st.integers(1, 2000))
@@ -324,8 +328,8 @@
     members would alternate between live and down.
     """
     pace = heartbeat_pace.HeartbeatPace(lambda: size)
-    assert pace.present_ms > 2 * pace.beat_ms
-    assert pace.present_ms >= pace.silence_ms
+    assert pace.liveness_timeout_ms > 2 * pace.interval_ms
+    assert pace.liveness_timeout_ms >= pace.silence_timeout_ms
 
 
 def test_small_fleet_probes_all_lost_peers_at_once() -> None:
@@ -333,11 +337,15 @@
     lost = ['a', 'b', 'c', 'd']
     small = heartbeat_pace.HeartbeatPace(lambda: 13)
     assert set(
-        small.probes(lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1)
+        small.select_probe_targets(
+            lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
+        )
     ) == set(lost)
-    assert not small.probes(lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2)
+    assert not small.select_probe_targets(
+        lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2
+    )
     large = heartbeat_pace.HeartbeatPace(lambda: FLEET)
-    assert len(large.probes(lost, 1_000_000)) == 1
+    assert len(large.select_probe_targets(lost, 1_000_000)) == 1
 
 
 def test_liveness_lists_the_fleet_only_a_few_times(
@@ -349,17 +357,19 @@
     """
     node, _ = _large_fleet(clock)[0]
     for number in range(1, FLEET):
-        node.beats.attendance.hear(f'front-{number}', 1, is_usable=True)
+        node.beats.liveness.record_heartbeat(
+            f'front-{number}', 1, is_usable=True
+        )
     calls = []
-    known = Membership.known
+    known = Membership.known_peers
 
     def _known(membership: Membership) -> list[InstanceStatus]:
         calls.append(1)
         return known(membership)
 
-    monkeypatch.setattr(Membership, 'known', _known)
-    node.beats.attendance.present()
-    node.beats.attendance.share()
+    monkeypatch.setattr(Membership, 'known_peers', _known)
+    node.beats.liveness.live_ids()
+    node.beats.liveness.live_share()
     assert len(calls) < 10
 
 
@@ -398,7 +408,7 @@
 
     monkeypatch.setattr(membership_module, 'ranking', _ranking)
     for _ in range(40):
-        node.beats.attendance.rank()
+        node.beats.liveness.rank()
         node.beats._targets()
-        assert node.beats._pace.beat_ms
+        assert node.beats._pace.interval_ms
     assert len(sort_calls) <= 1
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -50,22 +50,22 @@
 def _apply(members: Membership, step: tuple[Any, ...]) -> None:
     match step:
         case ('status', name, state):
-            members.note_status(stored(name, state))
+            members.apply_status(stored(name, state))
         case ('delete', name):
-            members.note_status(StoredObject(f'instances/{name}', 2, None))
+            members.apply_status(StoredObject(f'instances/{name}', 2, None))
         case ('suspect', name):
             members.suspect(name)
         case ('clear', name):
-            members.clear(name)
+            members.clear_suspicion(name)
         case ('list', names):
-            members.note_listed(
+            members.apply_instance_list(
                 tuple(
                     ListedInstance(str(status(name).address), 'live')
                     for name in sorted(names)
                 ),
             )
         case ('drain',):
-            members.own = members.own._replace(state='leaving')
+            members.own_status = members.own_status._replace(state='leaving')
 
 
 @given(STEPS)
@@ -79,7 +79,7 @@
     clock = [0.0]
     with mock.patch.object(module, 'now_ms', lambda: clock[0]):
         members = Membership(status('a'))
-        members.note_published()
+        members.mark_published()
         for step in steps:
             if step[0] == 'advance clock':
                 clock[0] += step[1]
@@ -88,8 +88,8 @@
             for cell in CELLS:
                 expected = owner_of(cell, live) or 'a'
                 assert members.owner_of(cell) == expected
-                known = [each.instance_id for each in members.known()]
-                assert members.ranked(cell) == tuple(
+                known = [each.instance_id for each in members.known_peers()]
+                assert members.ranked_ids(cell) == tuple(
                     ranking(cell, [*known, 'a'])
                 )
 
@@ -115,12 +115,12 @@
     clock = [0.0]
     with mock.patch.object(module, 'now_ms', lambda: clock[0]):
         members = Membership(status('a'))
-        members.note_published()
-        members.note_status(stored('b'))
-        members.note_listed(())
+        members.mark_published()
+        members.apply_status(stored('b'))
+        members.apply_instance_list(())
         clock[0] = 3_600_000
         assert len(members.live()) == 2
-        members.note_listed(())
+        members.apply_instance_list(())
         assert len(members.live()) == 1
 
 
@@ -130,11 +130,11 @@
     has live instances.
     """
     members = Membership(status('a'))
-    members.note_published()
+    members.mark_published()
     near = status('b')._replace(availability_zone='zone-a')
-    members.note_status(StoredObject('instances/b', 1, near.to_text()))
-    members.note_status(stored('c'))
-    first = [members.entries(f'caller-{each}', 3)[0] for each in range(100)]
+    members.apply_status(StoredObject('instances/b', 1, near.to_text()))
+    members.apply_status(stored('c'))
+    first = [members.entries_for(f'caller-{each}', 3)[0] for each in range(100)]
     counts = {each.instance_id for each in first}
     assert counts == {'a', 'b'}
     share = sum(each.instance_id == 'a' for each in first)
@@ -143,9 +143,9 @@
 
 def test_draining_instance_is_not_in_entries() -> None:
     members = Membership(status('a'))
-    members.note_published()
-    members.note_status(stored('b', 'leaving'))
-    assert [each.instance_id for each in members.entries('x', 3)] == ['a']
+    members.mark_published()
+    members.apply_status(stored('b', 'leaving'))
+    assert [each.instance_id for each in members.entries_for('x', 3)] == ['a']
 
 
 def test_instance_with_most_cores_owns_cells_first() -> None:
@@ -154,14 +154,14 @@
     for name in NAMES[1:]:
         cores = 0.72 if name == 'd' else 0.36
         text = status(name)._replace(cores=cores).to_text()
-        members.note_status(StoredObject(f'instances/{name}', 1, text))
+        members.apply_status(StoredObject(f'instances/{name}', 1, text))
     for number in range(50):
         cell = f'cell-{number}'
         assert members.owner_of(cell) == 'd'
-        assert members.ranked(cell)[0] == 'd'
+        assert members.ranked_ids(cell)[0] == 'd'
         members.suspect('d')
         assert members.owner_of(cell) != 'd'
-        members.clear('d')
+        members.clear_suspicion('d')
 
 
 def test_status_without_cores_is_parsed() -> None:
--- a/tests/process/test_outages.py
+++ b/tests/process/test_outages.py
@@ -19,7 +19,7 @@
 
 async def _async_until_version(instance: Instance, version: int) -> None:
     for _ in range(500):
-        if instance.parts.follower.configuration.version >= version:
+        if instance.components.follower.configuration.version >= version:
             return
         await sleep(0.01)
     raise AssertionError('the version did not arrive in time')
@@ -37,9 +37,9 @@
     late = await fleet.async_add_instance('late', seed_peers=(seed,))
     await _async_until_version(late, 1)
     record = await async_call(completion_entry(), 1, late.own.address)
-    assert record.is_whole
-    owner = fleet.instances[0].parts.membership.owner_of('desk')
-    assert late.parts.membership.owner_of('desk') == owner
+    assert record.is_complete
+    owner = fleet.instances[0].components.membership.owner_of('desk')
+    assert late.components.membership.owner_of('desk') == owner
 
 
 @on_fleet(PLAN)
@@ -52,7 +52,7 @@
     """
     owner = fleet.owner_of('desk')
     behind = next(each for each in fleet.instances if each is not owner)
-    follower = behind.parts.follower
+    follower = behind.components.follower
 
     async def _async_ignore_change(change: object) -> None:
         await sleep(0)
@@ -61,8 +61,8 @@
     follower.async_note = _async_ignore_change  # type: ignore[method-assign]
     document = json.loads(follower.configuration.document)
     document['teams'][0]['weight'] = 7
-    await fleet.async_put_document(json.dumps(document))
-    version = owner.parts.follower.configuration.version + 1
+    await fleet.async_put_configuration(json.dumps(document))
+    version = owner.components.follower.configuration.version + 1
     await _async_until_version(owner, version)
     _set(fleet, is_down=True)
     follower.async_note = real_note  # type: ignore[method-assign]
@@ -78,15 +78,15 @@
     """
     _set(fleet, is_down=True)
     address = fleet.instances[0].own.address
-    assert (await async_call(completion_entry(), 1, address)).is_whole
+    assert (await async_call(completion_entry(), 1, address)).is_complete
     entry = booking_entry('outage-1', deadline_ms=600)
     refused = await async_call(entry, 2, address)
     assert (refused.status, refused.outcome) == (503, 'not_run')
-    assert fleet.booking.runs == {}
+    assert fleet.booking_service.runs == {}
     _set(fleet, is_down=False)
     again = await async_call(booking_entry('outage-1'), 2, address)
-    assert again.is_whole
-    assert fleet.booking.runs == {'outage-1': 1}
+    assert again.is_complete
+    assert fleet.booking_service.runs == {'outage-1': 1}
 
 
 @on_fleet(PLAN)
@@ -110,7 +110,7 @@
         outcomes.append(record.outcome)
         assert len(outcomes) < 100
         await sleep(0.05)
-    assert fleet.booking.runs == {'hasty': 1}
+    assert fleet.booking_service.runs == {'hasty': 1}
 
 
 @on_fleet(PLAN)
@@ -119,14 +119,14 @@
     cut off when it stops, so none may be sent after the next read of the list.
     """
     engine = str(fleet.listeners[0].address)
-    fleet.platform.listed[engine] = 'leaving'
+    fleet.platform.instance_states[engine] = 'leaving'
     for instance in fleet.instances:
-        while not instance.parts.membership.leaving_addresses():
+        while not instance.components.membership.draining_addresses():
             await sleep(0.02)
     entry = completion_entry(deadline_ms=400)
     record = await async_call(entry, 1, fleet.instances[0].own.address)
     assert record.outcome == 'not_run'
-    assert fleet.engines[0].batch.records.runs == {}
+    assert fleet.engines[0].batch.counters.runs == {}
 
 
 @on_fleet(PLAN)
@@ -136,11 +136,11 @@
     """A delayed list response contains the previous document. If it were
     applied, it would restore what an operator has just removed.
     """
-    parts = fleet.instances[0].parts
+    parts = fleet.instances[0].components
     old = parts.follower.configuration
     document = json.loads(old.document)
     document['teams'] = document['teams'][:2]
-    await fleet.async_put_document(json.dumps(document))
+    await fleet.async_put_configuration(json.dumps(document))
     await _async_until_version(fleet.instances[0], old.version + 1)
     got = await parts.platform.async_get('configuration', role='test')
     stored = got.unwrap()
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -26,7 +26,9 @@
 
 
 async def _async_until_waiting(instances: list[Instance], count: int) -> None:
-    while sum(each.parts.grants.waiting for each in instances) < count:
+    while (
+        sum(each.components.grants.waiting_count for each in instances) < count
+    ):
         await sleep(0.005)
 
 
@@ -35,7 +37,7 @@
     records: list[CallResult],
 ) -> None:
     assert len(records) == WAITING
-    assert all(record.is_whole for record in records)
+    assert all(record.is_complete for record in records)
     runs = fleet.runs_by_request()
     assert set(runs.values()) == {1}
     assert {record.request_id for record in records} == set(runs)
@@ -71,7 +73,7 @@
     async with TaskGroup() as group:
         await _async_send_requests(group, others)
         await _async_until_waiting(others, WAITING - PLAN.max_running - 4)
-        owner.parts.scheduler.async_receive = _async_silent  # type: ignore[method-assign]
+        owner.components.scheduler.async_receive = _async_silent  # type: ignore[method-assign]
     _assert_each_ran_once(fleet, list(group.results))
 
 
@@ -92,11 +94,11 @@
             await sleep(0.005)
         await owner.async_kill()
         await sleep(0.2)
-        name = others[0].parts.membership.owner_of('desk')
+        name = others[0].components.membership.owner_of('desk')
         successor = next(
             each for each in others if each.own.instance_id == name
         )
-        load = successor.parts.scheduler.cells['desk'].loads['engine-0']
+        load = successor.components.scheduler.cells['desk'].loads['engine-0']
         assert len(load.runs) == PLAN.max_running
     assert all(record.is_whole for record in group.results)
 
@@ -117,11 +119,11 @@
         for number in range(PLAN.max_running):
             entry = completion_entry(output_tokens=60)
             await group.spawn(async_call, entry, number, address)
-        load = owner.parts.scheduler.cells['desk'].loads['engine-0']
+        load = owner.components.scheduler.cells['desk'].loads['engine-0']
         while len(load.runs) < PLAN.max_running:
             await sleep(0.005)
-        ingress.parts.membership.suspect(owner.own.instance_id)
-        await ingress.parts.grants.async_review()
+        ingress.components.membership.suspect(owner.own.instance_id)
+        await ingress.components.grants.async_move_to_current_owners()
     assert all(record.is_whole for record in group.results)
     for _ in range(200):
         if not load.runs:
--- a/tests/process/test_spending.py
+++ b/tests/process/test_spending.py
@@ -15,20 +15,20 @@
 
 def test_reports_add_up_and_are_replaced_per_instance() -> None:
     reports = SpendingReports(8000)
-    reports.note('a', [Spending(team='guides', tokens=100)], 9000)
-    reports.note('a', [Spending(team='guides', tokens=120)], 9300)
-    reports.note('b', [Spending(team='guides', tokens=7)], 100)
-    assert reports.spent('guides') == 127
-    reports.forget('a')
-    assert reports.spent('guides') == 7
+    reports.record('a', [Spending(team='guides', tokens=100)], 9000)
+    reports.record('a', [Spending(team='guides', tokens=120)], 9300)
+    reports.record('b', [Spending(team='guides', tokens=7)], 100)
+    assert reports.tokens_spent('guides') == 127
+    reports.drop('a')
+    assert reports.tokens_spent('guides') == 7
 
 
 def test_reports_are_incomplete_while_most_instances_are_new() -> None:
     reports = SpendingReports(8000)
     assert not reports.is_complete()
-    reports.note('a', [], 100)
-    reports.note('b', [], 9000)
-    reports.note('c', [], 200)
+    reports.record('a', [], 100)
+    reports.record('b', [], 9000)
+    reports.record('c', [], 200)
     assert not reports.is_complete()
-    reports.note('c', [], 9000)
+    reports.record('c', [], 9000)
     assert reports.is_complete()
--- a/tests/process/test_store_reader.py
+++ b/tests/process/test_store_reader.py
@@ -35,10 +35,10 @@
             directory=EngineDirectory(),
             rank=lambda: rank,
             is_owner=lambda: is_owner,
-            is_owner_lost=lambda: is_owner_lost,
+            has_owner_lost_store=lambda: is_owner_lost,
             version=lambda: 1,
             on_document=_async_ignore,
-            on_engines=lambda: None,
+            on_engines_changed=lambda: None,
         ),
     )
 
--- a/tests/request/test_bad_input.py
+++ b/tests/request/test_bad_input.py
@@ -109,8 +109,8 @@
         received = (response.status, problem['type'])
         assert received == (status, f'urn:hornbeamdeck:{code}'), name
         assert response.headers[HEADER_OUTCOME] == 'not_run', name
-    assert fleet.engines[0].batch.records.runs == {}
-    assert fleet.booking.runs == {}
+    assert fleet.engines[0].batch.counters.runs == {}
+    assert fleet.booking_service.runs == {}
 
 
 async def _async_send_raw(address: Address, sent: bytes) -> bytes:
@@ -146,7 +146,7 @@
     assert b' 413 ' in await _async_send_raw(address, large)
     cut = head + b'content-length: 9\r\n\r\n{'
     assert b' 400 ' in await _async_send_raw(address, cut)
-    assert (await async_call(completion_entry(), 1, address)).is_whole
+    assert (await async_call(completion_entry(), 1, address)).is_complete
 
 
 @pytest.mark.parametrize(
@@ -163,6 +163,8 @@
     async def _scenario(fleet: Fleet) -> None:
         own = fleet.instances[0].own
         await _async_send_raw(own.peer_address, sent)
-        assert (await async_call(completion_entry(), 1, own.address)).is_whole
+        assert (
+            await async_call(completion_entry(), 1, own.address)
+        ).is_complete
 
     _scenario()
--- a/tests/request/test_claim.py
+++ b/tests/request/test_claim.py
@@ -60,7 +60,7 @@
 
         The store fails in the first calls that this causes.
         """
-        self.platform.coming = [fault] * calls
+        self.platform.next_faults = [fault] * calls
         fingerprint = 'other' if other else 'same'
         claimed = self._run(self._async_send(fingerprint))
         if claimed.is_err():
--- a/tests/request/test_event_parser.py
+++ b/tests/request/test_event_parser.py
@@ -19,10 +19,10 @@
     start = 0
     ends = [*sorted(splits), len(STREAM)]
     for end in ends:
-        events += feed.feed(STREAM[start:end])
+        events += feed.add_piece(STREAM[start:end])
         start = end
     assert b''.join(event.encoded for event in events) == STREAM
-    assert [event.name for event in events] == ['1', '2', '3', '4', '5']
+    assert [event.event_id for event in events] == ['1', '2', '3', '4', '5']
     assert not feed.has_partial_event
 
 
@@ -31,16 +31,16 @@
     be joined to the first event of the engine that continues the stream.
     """
     feed = EventParser()
-    assert len(feed.feed(STREAM[:-3])) == 4
+    assert len(feed.add_piece(STREAM[:-3])) == 4
     assert feed.has_partial_event
 
 
 def test_all_line_endings_terminate_events() -> None:
     for end in (b'\n', b'\r\n', b'\r'):
         feed = EventParser()
-        events = feed.feed(b'id: 4' + end + b'data: x' + end + end)
+        events = feed.add_piece(b'id: 4' + end + b'data: x' + end + end)
         assert len(events) == 1
 
 
 def test_events_without_an_id_have_an_empty_name() -> None:
-    assert EventParser().feed(b'data: id: 3\n\n')[0].name == ''
+    assert EventParser().add_piece(b'data: id: 3\n\n')[0].event_id == ''
--- a/tests/request/test_graceful_shutdown.py
+++ b/tests/request/test_graceful_shutdown.py
@@ -20,32 +20,32 @@
     gap_ms=500,
     timeout_ms=12_000,
     priority=0,
-    max_dispatches=1,
+    max_attempts=1,
     is_public=False,
     is_resumable=False,
 )
 
 
 def _is_started(share: float, kind: RouteKind) -> bool:
-    edge = cast(GatewayContext, _EdgeInShutdown(share))
+    context = cast(GatewayContext, _ContextInShutdown(share))
     admission = GatewayAdmission(
-        ask=cast(Any, None),
+        request=cast(Any, None),
         route=ROUTE._replace(kind=kind),
         service='desk',
         team=None,
         arrived_ms=0,
         deadline_ms=math.inf,
     )
-    return not _would_be_cut_off(edge, admission)
+    return not _would_be_cut_off(context, admission)
 
 
-class _EdgeInShutdown:
-    """Stub of an edge during a graceful shutdown."""
+class _ContextInShutdown:
+    """Stub of the gateway's context during a graceful shutdown."""
 
     def __init__(self, share: float) -> None:
         self._share = share
 
-    def stop_share(self) -> float:
+    def shutdown_progress(self) -> float:
         return self._share
 
 
--- a/tests/request/test_issued_key.py
+++ b/tests/request/test_issued_key.py
@@ -75,14 +75,14 @@
     """
     key = await _async_request_key(fleet.instances[0])
     fleet.platform.switches = fleet.platform.switches._replace(is_down=True)
-    before = fleet.platform.calls.get('claims', 0)
+    before = fleet.platform.calls_by_role.get('claims', 0)
     entry = booking_entry(key)
     for instance in fleet.instances:
         record = await async_call(entry, 1, instance.own.address)
-        assert record.is_whole
+        assert record.is_complete
         assert record.outcome == 'ran'
-    assert fleet.booking.runs == {key: 1}
-    assert fleet.platform.calls.get('claims', 0) == before
+    assert fleet.booking_service.runs == {key: 1}
+    assert fleet.platform.calls_by_role.get('claims', 0) == before
 
 
 @on_fleet(PLAN)
@@ -94,7 +94,7 @@
         for instance in fleet.instances * 3:
             address = instance.own.address
             await calls.spawn(async_call, booking_entry(key), 1, address)
-    assert fleet.booking.runs == {key: 1}
+    assert fleet.booking_service.runs == {key: 1}
     assert {each.outcome for each in calls.results} <= {'ran', 'unknown'}
 
 
@@ -116,7 +116,7 @@
         fleet.instances[1].own.address,
     )
     assert record.outcome == 'unknown'
-    assert fleet.booking.runs == {}
+    assert fleet.booking_service.runs == {}
 
 
 @on_fleet(PLAN)
@@ -129,6 +129,6 @@
     first = await async_call(booking_entry(key), 1, address)
     other = booking_entry(key)._replace(path='/bookings/special')
     second = await async_call(other, 1, address)
-    assert first.is_whole
+    assert first.is_complete
     assert (second.status, second.outcome) == (422, 'not_run')
-    assert fleet.booking.runs == {key: 1}
+    assert fleet.booking_service.runs == {key: 1}
--- a/tests/scheduling/engine_cell_factories.py
+++ b/tests/scheduling/engine_cell_factories.py
@@ -31,7 +31,7 @@
         address=Address('10.0.0.1', 80),
         availability_zone=zone,
         slots=slots,
-        is_leaving=False,
+        is_draining=False,
         born_ms=1,
     )
     return made._replace(**changes)  # type: ignore[arg-type]
@@ -46,7 +46,7 @@
         priority=None,
         rate_per_s=rate,
         burst=burst,
-        plain_tokens=200,
+        default_request_tokens=200,
     )
 
 
@@ -62,7 +62,7 @@
     return TokenQuotas(
         QuotaView(
             spent=lambda _team: spent,
-            is_remembered=lambda: is_remembered,
+            covers_window=lambda: is_remembered,
             share=lambda: share,
         ),
         QuotaRules(window_ms=8000, slack=slack),
@@ -76,7 +76,7 @@
         SharedState(quotas=make_quotas(), teams={}),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
-    made.adopt(engines, traits, {})
+    made.update_engines(engines, traits, {})
     return made
 
 
@@ -105,12 +105,12 @@
 
 def enqueue(to: EngineCell, request: Enqueue, now: float = 0) -> object:
     """Enqueue a request and return its refusal, if any."""
-    return to.offer(request, sender='s', deliver=async_discard, now=now)
+    return to.enqueue(request, sender='s', deliver=async_discard, now=now)
 
 
 def granted(by: EngineCell, now: float = 0) -> list[tuple[str, str]]:
     """Return the current grants as pairs of request id and engine."""
     return [
-        (grant.ticket.request.request_id, grant.upstream)
-        for grant in by.grants(now)
+        (grant.queued.request.request_id, grant.upstream)
+        for grant in by.place_waiting(now)
     ]
--- a/tests/scheduling/test_cell.py
+++ b/tests/scheduling/test_cell.py
@@ -39,7 +39,7 @@
         )
         for number, name in enumerate(names)
     )
-    cell.adopt(upstreams, weights={}, top_rank=0)
+    cell.apply_configuration(upstreams, weights={}, top_rank=0)
     return cell
 
 
@@ -61,12 +61,12 @@
 
 def enqueue(cell: Cell, request: Enqueue, now: float = 0) -> Any:
     """Enqueue a request and return its refusal, if any."""
-    return cell.offer(request, sender='s', deliver=_async_discard, now=now)
+    return cell.enqueue(request, sender='s', deliver=_async_discard, now=now)
 
 
 def granted_ids(cell: Cell, now: float = 0) -> list[str]:
     """Return the ids of the requests that are granted now."""
-    return [each.ticket.request.request_id for each in cell.grants(now)]
+    return [each.queued.request.request_id for each in cell.place_waiting(now)]
 
 
 def end_run(cell: Cell, name: str, how: RunEnd = RunEnd.ANSWERED) -> None:
@@ -94,14 +94,14 @@
         enqueue(cell, request)
     order: list[int] = []
     for _ in requests:
-        now_granted = list(cell.grants(0))
-        order += [each.ticket.request.tier_rank for each in now_granted]
+        now_granted = list(cell.place_waiting(0))
+        order += [each.queued.request.tier_rank for each in now_granted]
         for load in cell.loads.values():
             assert len(load.runs) <= MAX_RUNNING
             if len(load.runs) > 1:
                 assert load.prompt_tokens <= 1000
         for each in now_granted:
-            end_run(cell, each.ticket.request.request_id, RunEnd.CANCELLED)
+            end_run(cell, each.queued.request.request_id, RunEnd.CANCELLED)
     assert not len(cell)
     assert order == sorted(order)
     assert all(load.prompt_tokens == 0 for load in cell.loads.values())
@@ -174,9 +174,9 @@
         )
     assert enqueue(cell, make_request('waits', deadline_ms=1000)) is None
     assert granted_ids(cell) == []
-    assert not list(cell.expire(800))
-    expired = list(cell.expire(950))
-    assert [each.ticket.request.request_id for each in expired] == ['waits']
+    assert not list(cell.refuse_expired(800))
+    expired = list(cell.refuse_expired(950))
+    assert [each.queued.request.request_id for each in expired] == ['waits']
 
 
 def test_dead_upstream_is_in_backoff() -> None:
@@ -186,11 +186,11 @@
     """
     cell = make_cell('a', 'b')
     enqueue(cell, make_request('first'))
-    first = next(iter(cell.grants(0)))
+    first = next(iter(cell.place_waiting(0)))
     end_run(cell, 'first', RunEnd.NOT_DISPATCHED)
     for number in range(3):
         enqueue(cell, make_request(f'next{number}'))
-    upstreams_used = {each.upstream for each in cell.grants(1)}
+    upstreams_used = {each.upstream for each in cell.place_waiting(1)}
     assert upstreams_used == {'a', 'b'} - {first.upstream}
 
 
@@ -202,7 +202,7 @@
     for number in range(MAX_RUNNING + 2):
         enqueue(cell, make_request(f'r{number}'))
     granted_ids(cell)
-    cell.drop_sender('s')
+    cell.remove_sender('s')
     assert len(cell) == 0
     assert not cell.loads['a'].runs
     assert cell.loads['a'].prompt_tokens == 0
--- a/tests/scheduling/test_engine_cell.py
+++ b/tests/scheduling/test_engine_cell.py
@@ -144,8 +144,8 @@
     enqueue(desk, make_request('runs', output_tokens=170))
     granted(desk)
     enqueue(desk, make_request('waits', objective_ms=2000, patience_ms=900))
-    assert not list(desk.expire(800))
-    expired = list(desk.expire(1000))
+    assert not list(desk.refuse_expired(800))
+    expired = list(desk.refuse_expired(1000))
     assert [_reason(each) for each in expired] == [RefusalReason.DEADLINE]
     assert not len(desk)
 
@@ -233,9 +233,9 @@
     )
     assert not granted(desk, 10)
     desk.release(_release('runs', RunEnd.ANSWERED), 100)
-    grants = list(desk.grants(100))
+    grants = list(desk.place_waiting(100))
     assert [grant.upstream for grant in grants] == ['fast']
-    assert grants[0].held_for == 'it would be late there'
+    assert grants[0].hold_reason == 'it would be late there'
 
 
 def test_gaps_are_learned_relative_to_the_speed_of_an_engine() -> None:
@@ -342,14 +342,14 @@
     desk = make_cell(engine('e1'))
     enqueue(desk, make_request('r1'))
     granted(desk)
-    desk.adopt([engine('e1', born_ms=2)], desk.loads['e1'].traits, {})
+    desk.update_engines([engine('e1', born_ms=2)], desk.loads['e1'].traits, {})
     assert not desk.loads['e1'].runs
 
 
 def test_a_draining_engine_gets_no_requests() -> None:
     desk = make_cell(engine('e1'), engine('e2'))
     draining = engine('e1', is_leaving=True)
-    desk.adopt([draining, engine('e2')], desk.loads['e1'].traits, {})
+    desk.update_engines([draining, engine('e2')], desk.loads['e1'].traits, {})
     for number in range(4):
         enqueue(desk, make_request(f'r{number}'))
     assert {name for _, name in granted(desk)} == {'e2'}
@@ -359,7 +359,7 @@
     desk = make_cell(engine('e1', slots=1))
     enqueue(desk, make_request('r1'))
     granted(desk)
-    desk.drop_sender('s')
+    desk.remove_sender('s')
     enqueue(desk, make_request('r2'))
     assert granted(desk) == [('r2', 'e1')]
 
@@ -437,7 +437,7 @@
             _release(f'again-{number}', RunEnd.NOT_DISPATCHED),
             number,
         )
-    desk.suspicions.record_answer('good')
+    desk.crash_tracker.record_answer('good')
     refused = enqueue(desk, make_request('bad-9', fingerprint='bad'), now=9)
     assert _reason(refused) == RefusalReason.CULPRIT
     assert (
@@ -469,7 +469,7 @@
         ),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
-    made.adopt([engine('e1', slots=99)], MODEL, {})
+    made.update_engines([engine('e1', slots=99)], MODEL, {})
     return made
 
 
@@ -499,8 +499,8 @@
     enqueue(desk, make_request('limited', quota_tokens=5000))
     enqueue(desk, make_request('free', team='unlimited'))
     assert [request for request, _ in granted(desk)] == ['free']
-    grants = list(desk.grants(100))
-    assert [each.held_for for each in grants] == ["the team's limit"]
+    grants = list(desk.place_waiting(100))
+    assert [each.hold_reason for each in grants] == ["the team's limit"]
 
 
 def test_beyond_the_limit_a_request_is_refused_at_once() -> None:
@@ -560,7 +560,7 @@
 
     monkeypatch.setattr(WaitQueue, 'expired', _counted)
     for tenth_ms in range(200):
-        list(desk.expire(tenth_ms / 10))
+        list(desk.refuse_expired(tenth_ms / 10))
     assert len(checks) == 1
 
 
--- a/tests/scheduling/test_engine_cell_states.py
+++ b/tests/scheduling/test_engine_cell_states.py
@@ -59,7 +59,7 @@
             excluded=excluded,
             dispatches=len(excluded),
         )
-        refused = self.cell.offer(
+        refused = self.cell.enqueue(
             request,
             sender=sender,
             deliver=async_discard,
@@ -72,12 +72,12 @@
     def advance_time(self, passed_ms: int) -> None:
         """Advance the time, expire requests and grant what fits."""
         self.now += passed_ms
-        for refused in self.cell.expire(self.now):
+        for refused in self.cell.refuse_expired(self.now):
             assert isinstance(refused, Refused)
-            self.waiting.pop(refused.ticket.request.request_id)
-        for grant in self.cell.grants(self.now):
-            request_id = grant.ticket.request.request_id
-            assert grant.upstream not in grant.ticket.request.excluded
+            self.waiting.pop(refused.queued.request.request_id)
+        for grant in self.cell.place_waiting(self.now):
+            request_id = grant.queued.request.request_id
+            assert grant.upstream not in grant.queued.request.excluded
             self.running[request_id] = self.waiting.pop(request_id)
 
     @rule(drawn=st.data(), end=ENDS)
@@ -98,7 +98,7 @@
     @rule(sender=st.sampled_from(SENDERS))
     def lose_ingress(self, sender: str) -> None:
         """Close the connection of an ingress with all its requests."""
-        self.cell.drop_sender(sender)
+        self.cell.remove_sender(sender)
         for held in (self.waiting, self.running):
             gone = [key for key, owner in held.items() if owner == sender]
             for request_id in gone:
@@ -116,7 +116,7 @@
         born_ms: int,
     ) -> None:
         """Apply another list of engines."""
-        self.cell.adopt(
+        self.cell.update_engines(
             [
                 engine(
                     name,
--- a/tests/scheduling/test_engine_crash_tracker.py
+++ b/tests/scheduling/test_engine_crash_tracker.py
@@ -13,9 +13,9 @@
     watch.record_failed_run('e1', 'beside', 9000)
     watch.record_failed_run('e2', 'elsewhere', 9000)
     assert watch.record_crash('e1', 9000 + SAME_CRASH_MS / 2) == 'beside'
-    assert watch.crashes('beside', 10_000) == 1
-    assert not watch.crashes('long-ago', 10_000)
-    assert not watch.crashes('elsewhere', 10_000)
+    assert watch.crash_count('beside', 10_000) == 1
+    assert not watch.crash_count('long-ago', 10_000)
+    assert not watch.crash_count('elsewhere', 10_000)
 
 
 def test_one_crash_is_counted_once() -> None:
@@ -27,7 +27,7 @@
     watch.record_failed_run('e1', 'beside', 0)
     for moment in range(10):
         watch.record_crash('e1', moment)
-    assert watch.crashes('beside', 100) == 1
+    assert watch.crash_count('beside', 100) == 1
 
 
 def test_crashes_counted_by_another_owner_are_kept() -> None:
@@ -36,17 +36,17 @@
     owner.
     """
     watch = EngineCrashTracker()
-    watch.note('bad', 2, 0)
-    watch.note('bad', 1, 10)
-    assert watch.crashes('bad', 20) == 2
+    watch.merge_crash_count('bad', 2, 0)
+    watch.merge_crash_count('bad', 1, 10)
+    assert watch.crash_count('bad', 20) == 2
     watch.record_failed_run('e1', 'bad', 20)
     watch.record_crash('e1', 30)
-    assert watch.crashes('bad', 40) == POISON_CRASHES
-    assert watch.is_culprit('bad', 40)
+    assert watch.crash_count('bad', 40) == POISON_CRASHES
+    assert watch.is_confirmed_poison('bad', 40)
 
 
 def test_an_answered_request_is_cleared() -> None:
     watch = EngineCrashTracker()
-    watch.note('good', 2, 0)
+    watch.merge_crash_count('good', 2, 0)
     watch.record_answer('good')
-    assert not watch.crashes('good', 10)
+    assert not watch.crash_count('good', 10)
--- a/tests/scheduling/test_upstream_crash_tracker.py
+++ b/tests/scheduling/test_upstream_crash_tracker.py
@@ -40,7 +40,7 @@
         now += 10_000
         concurrent = [POISON, *(f'r{each}' for each in sorted(others))]
         alone = {
-            each for each in concurrent if suspicions.crashes(each, now)
+            each for each in concurrent if suspicions.crash_count(each, now)
         } <= {POISON}
         for fingerprint in concurrent:
             suspicions.record_failure(
@@ -50,7 +50,7 @@
             confirmed = [
                 each
                 for each in concurrent
-                if suspicions.is_culprit(each, now) and each != POISON
+                if suspicions.is_confirmed_poison(each, now) and each != POISON
             ]
             assert not confirmed
         for other in others:
@@ -114,7 +114,7 @@
     other = await async_call(
         completion_entry(), 5, fleet.instances[0].own.address
     )
-    assert other.is_whole
+    assert other.is_complete
 
 
 @on_fleet(FLEET)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -13,7 +13,7 @@
         record = await async_call(
             completion_entry(), number, instance.own.address
         )
-        assert record.is_whole
+        assert record.is_complete
         assert record.outcome == 'ran'
 
 
@@ -21,7 +21,7 @@
 async def test_complete_response_without_stream(fleet: Fleet) -> None:
     entry = completion_entry(is_stream=False)
     record = await async_call(entry, 1, fleet.instances[1].own.address)
-    assert record.is_whole
+    assert record.is_complete
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
@@ -35,9 +35,9 @@
     entry = booking_entry('huelgoat-1')
     original = await async_call(entry, 1, fleet.instances[0].own.address)
     repeated = await async_call(entry, 1, fleet.instances[1].own.address)
-    assert original.is_whole
-    assert repeated.is_whole
-    assert fleet.booking.runs == {'huelgoat-1': 1}
+    assert original.is_complete
+    assert repeated.is_complete
+    assert fleet.booking_service.runs == {'huelgoat-1': 1}
 
 
 @on_fleet(FleetPlan(speeds=(1,)))
@@ -52,7 +52,7 @@
         for instance in fleet.instances:
             await calls.spawn(async_call, entry, 1, instance.own.address)
     outcomes = sorted(record.outcome for record in calls.results)
-    assert fleet.booking.runs == {'broceliande-1': 1}
+    assert fleet.booking_service.runs == {'broceliande-1': 1}
     assert 'ran' in outcomes
     assert set(outcomes) <= {'ran', 'unknown'}
 
@@ -66,5 +66,5 @@
     fleet.platform.switches = fleet.platform.switches._replace(lost_answers=1)
     entry = booking_entry('lost-1')
     record = await async_call(entry, 1, fleet.instances[0].own.address)
-    assert record.is_whole
-    assert fleet.booking.runs == {'lost-1': 1}
+    assert record.is_complete
+    assert fleet.booking_service.runs == {'lost-1': 1}
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -59,7 +59,7 @@
     runs = fleet.runs_by_request()
     await fleet.async_stop()
     peak = max(each.batch.peak_running for each in fleet.engines)
-    return ReplayResult(records, runs, dict(fleet.booking.runs), peak)
+    return ReplayResult(records, runs, dict(fleet.booking_service.runs), peak)
 
 
 @pytest.fixture
@@ -127,7 +127,7 @@
 def _complete_or_conflict(replay_result: ReplayResult) -> None:
     # 409: a repeated call arrived while the first one was still running.
     incomplete_statuses = {
-        each.status for each in replay_result.records if not each.is_whole
+        each.status for each in replay_result.records if not each.is_complete
     }
     assert incomplete_statuses <= {409}
 
@@ -149,7 +149,7 @@
         each for each in replay_result.records if each.entry.tier == tier
     ]
     assert tier_records
-    assert all(each.is_whole for each in tier_records)
+    assert all(each.is_complete for each in tier_records)
 
 
 @then(
@@ -165,7 +165,7 @@
 def _clean_responses_complete(replay_result: ReplayResult) -> None:
     ran = [each for each in replay_result.records if each.outcome == 'ran']
     assert ran
-    assert all(each.is_whole for each in ran)
+    assert all(each.is_complete for each in ran)
 
 
 @then('no request ran more than once')
--- a/tests/test_metrics_documentation.py
+++ b/tests/test_metrics_documentation.py
@@ -53,7 +53,7 @@
     recorded = {
         sample.name.removesuffix('_count')
         for instance in fleet.instances
-        for family in instance.parts.metrics.registry.collect()
+        for family in instance.components.metrics.registry.collect()
         for sample in family.samples
         if sample.value
     }
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -48,7 +48,9 @@
 
         curio.run(_async_scenario)
         runs = fetch_json(fleet.engines[0].address, '/standin/records')['runs']
-    assert [record.is_whole for record in records] == [True] * WAITING_REQUESTS
+    assert [record.is_complete for record in records] == [
+        True
+    ] * WAITING_REQUESTS
     assert sorted(runs) == sorted(record.request_id for record in records)
     assert set(runs.values()) == {1}
 
@@ -78,7 +80,7 @@
         assert draining.process.wait(timeout=30) == 0
         log_texts = [event['event'] for event in draining.log_events()]
     assert 'instance: planned stop ends' in log_texts
-    assert [record.is_whole for record in records] == [True] * 20
+    assert [record.is_complete for record in records] == [True] * 20
 
 
 def test_invalid_settings_report_file_and_field(tmp_path: pathlib.Path) -> None:
