--- a/bench/ablated_instance.py
+++ b/bench/ablated_instance.py
@@ -45,7 +45,7 @@
     )
 
 
-def _without_leaving() -> None:
+def _without_draining() -> None:
     """Ignore which engines the platform lists as draining."""
     _patch(scheduler.Scheduler, 'update_draining', lambda *_args: None)
 
@@ -133,7 +133,7 @@
         'drain': _without_drain,
         'end-mark': _without_end_mark,
         'isolation': _without_isolation,
-        'leaving': _without_leaving,
+        'leaving': _without_draining,
         'single-dispatch': _without_single_dispatch,
     },
 )
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -231,7 +231,7 @@
         await async_put_json(engine.address, SWITCHES, {'is_cut': True})
 
 
-async def _async_leaving(scenario: Scenario) -> None:
+async def _async_draining(scenario: Scenario) -> None:
     if scenario.is_engine_draining:
         # Two at once would remove each other's entry from the list.
         return
@@ -261,7 +261,7 @@
     _async_lost_answers,
     _async_engine_outage,
     _async_engine_cut,
-    _async_leaving,
+    _async_draining,
 )
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -89,12 +89,14 @@
     The cost of a call, with a full batch, is the time for its prefill plus its
     share of a step for each output token.
     """
-    model = EngineTiming()
-    step_ms = model.step_ms / model.max_batch_size + model.step_per_sequence_ms
+    timing = EngineTiming()
+    step_ms = (
+        timing.step_ms / timing.max_batch_size + timing.step_per_sequence_ms
+    )
     cost_ms = sum(
         share.weight
         * (
-            _mean_length(share.prompt_tokens) * model.prefill_token_ms
+            _mean_length(share.prompt_tokens) * timing.prefill_token_ms
             + _mean_length(share.output_tokens) * step_ms
         )
         for share in CALL_MIX
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -402,8 +402,8 @@
         )
         for each in range(len(plan.slowness))
     ]
-    traits = EngineProperties(plan.slots, TOKENS_PER_EVENT, 660_000)
-    cell.update_engines(engines, traits, {})
+    properties = EngineProperties(plan.slots, TOKENS_PER_EVENT, 660_000)
+    cell.update_engines(engines, properties, {})
     return cell
 
 
--- a/hornbeamdeck/cli.py
+++ b/hornbeamdeck/cli.py
@@ -54,7 +54,7 @@
 
 
 def check_settings(path: str) -> None:
-    """Check the settings file of an instance or of a front process.
+    """Check the settings file of an instance or of a gateway process.
 
     Example: hornbeamdeck check-settings instance.json
 
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -47,23 +47,23 @@
         address: Address,
         *,
         timeout_ms: int,
-        unheard_ms: int = 0,
+        ack_timeout_ms: int = 0,
     ) -> Result[Self, ConnectFailed]:
         """Open a connection.
 
         :param timeout_ms: time limit for the TCP handshake, milliseconds.
-        :param unheard_ms: the connection breaks when written bytes stay
+        :param ack_timeout_ms: the connection breaks when written bytes stay
             unacknowledged for longer than this, milliseconds; 0: the default
             of the operating system, which is many minutes.
         :returns: the connection, or an error; after an error no byte was
             written.
         """
         connected = await async_connect(address, timeout_ms=timeout_ms)
-        if unheard_ms and isinstance(connected, Ok):
+        if ack_timeout_ms and isinstance(connected, Ok):
             connected.ok_value.setsockopt(
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                unheard_ms,
+                ack_timeout_ms,
             )
         return connected.map(lambda sock: cls(sock, address))
 
--- a/hornbeamdeck/connection/connection_pool.py
+++ b/hornbeamdeck/connection/connection_pool.py
@@ -28,7 +28,7 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections by engine; the last used is taken first.
+    """Keeps idle connections by engine; the last used is acquired first.
 
     An idle connection may break without notice, or hold a late response to an
     earlier request. Therefore only requests that may run twice are sent on an
@@ -53,7 +53,7 @@
         return sum(map(len, self._idle.values()))
 
     async def async_acquire(self, engine: str) -> ClientConnection | None:
-        """Take a usable idle connection to an engine, or `None`."""
+        """Acquire a usable idle connection to an engine, or `None`."""
         idle = self._idle.get(engine)
         while idle:
             last = idle.pop()
--- a/hornbeamdeck/connection/store_client.py
+++ b/hornbeamdeck/connection/store_client.py
@@ -1,4 +1,4 @@
-"""Client of the store; `platform_wire` parses the responses."""
+"""Client of the store; `store_responses` parses the responses."""
 
 from collections.abc import Callable
 from http import HTTPStatus
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -46,7 +46,7 @@
 
 
 class Fleet(NamedTuple):
-    """A running fleet; replays and tests access its parts directly."""
+    """A running fleet; replays and tests access its components directly."""
 
     platform: PlatformStandin
     platform_address: Address
@@ -188,9 +188,9 @@
             await listener.async_unload()
 
     def _is_ready(self, instance: Instance) -> bool:
-        parts = instance.components
-        sees_all = len(parts.membership.live()) == len(self.instances)
-        return sees_all and bool(parts.follower.configuration.version)
+        components = instance.components
+        sees_all = len(components.membership.live()) == len(self.instances)
+        return sees_all and bool(components.follower.configuration.version)
 
 
 def _id_of(instance: Instance) -> str:
--- a/hornbeamdeck/platform/documents.py
+++ b/hornbeamdeck/platform/documents.py
@@ -78,7 +78,7 @@
     },
     extra=vol.REMOVE_EXTRA,
 )
-_ENGINE_TRAITS: Final = vol.Schema(
+_ENGINE_PROPERTIES: Final = vol.Schema(
     {
         vol.Optional('slots', default=0): _COUNT,
         vol.Optional('stride', default=1): _COUNT,
@@ -178,7 +178,7 @@
         routes=_routes_by_host(map(_to_route, raw['routes'])),
         services=MappingProxyType(
             {
-                service[FIELD_NAME]: _to_traits(service.get('engine'))
+                service[FIELD_NAME]: _to_properties(service.get('engine'))
                 for service in map(_SERVICE, raw['services'])
             },
         ),
@@ -233,10 +233,10 @@
     )
 
 
-def _to_traits(raw: Any) -> EngineProperties:
+def _to_properties(raw: Any) -> EngineProperties:
     if raw is None:
         return EngineProperties(slots=0, tokens_per_event=0, memory_tokens=0)
-    checked = _ENGINE_TRAITS(raw)
+    checked = _ENGINE_PROPERTIES(raw)
     return EngineProperties(
         slots=checked['slots'],
         tokens_per_event=max(checked['stride'], 1),
--- a/hornbeamdeck/platform/store.py
+++ b/hornbeamdeck/platform/store.py
@@ -56,8 +56,8 @@
 class _Store:
     """Calls to the store.
 
-    Every failure counts as an outage and is returned as `PlatformDown`. Only a
-    watch from a revision that is too old returns `WatchGap`.
+    Every failure counts as an outage and is returned as `StoreUnavailable`.
+    Only a watch from a revision that is too old returns `WatchGap`.
     """
 
     def __init__(
--- a/hornbeamdeck/process/engine_cells.py
+++ b/hornbeamdeck/process/engine_cells.py
@@ -28,7 +28,7 @@
         bounds: Bounds,
         quotas: TokenQuotas,
     ) -> None:
-        """Start without cells; `adopt` creates them."""
+        """Start without cells; `apply_configuration` creates them."""
         self.quotas = quotas
         self._scheduler = scheduler
         self._directory = directory
@@ -47,14 +47,14 @@
 
     def apply_engines(self) -> None:
         """Apply the current list of engines to the cells."""
-        for service, traits in self._configuration.services.items():
+        for service, properties in self._configuration.services.items():
             cell = self._cells.get(service)
             if cell is None:
                 cell = EngineCell(self._shared, self._make_retry_budget())
                 self._cells[service] = cell
                 self._scheduler.cells[service] = cell
             engines = self._directory.of_service(service)
-            cell.update_engines(engines, traits, self._reported_slowness)
+            cell.update_engines(engines, properties, self._reported_slowness)
 
     def slowness(self) -> dict[str, float]:
         """Return the slowness of each engine by name.
--- a/hornbeamdeck/process/freshness_guard.py
+++ b/hornbeamdeck/process/freshness_guard.py
@@ -49,37 +49,41 @@
 class FreshnessGuard:
     """Decides what the confirmations held by this process allow."""
 
-    def __init__(self, parts: FreshnessDependencies) -> None:
-        """Check and renew the confirmations in these parts."""
-        self._parts = parts
-        self._configuration_read = CoalescedRead(parts.read_configuration)
-        self._engines_read = CoalescedRead(parts.read_engines)
+    def __init__(self, dependencies: FreshnessDependencies) -> None:
+        """Check and renew the confirmations through these dependencies."""
+        self._dependencies = dependencies
+        self._configuration_read = CoalescedRead(
+            dependencies.read_configuration
+        )
+        self._engines_read = CoalescedRead(dependencies.read_engines)
 
     @property
     def newest_confirmed_version(self) -> int:
         """Newest confirmed version of the configuration; 0: none."""
-        return self._parts.freshness.newest_confirmed_version
+        return self._dependencies.freshness.newest_confirmed_version
 
     def configuration_age_ms(self) -> float:
         """Return the age of the configuration's confirmation."""
-        parts = self._parts
-        return parts.freshness.age_ms(parts.version(), now_ms())
+        dependencies = self._dependencies
+        return dependencies.freshness.age_ms(dependencies.version(), now_ms())
 
     def engines_age_ms(self) -> float:
         """Return the age of the confirmation of the list of engines."""
-        return self._parts.directory.age_ms(now_ms())
+        return self._dependencies.directory.age_ms(now_ms())
 
     def may_accept_keys(self) -> bool:
         """Return whether keys may be accepted.
 
         They may while no key can have been revoked longer ago than the bound.
         """
-        limit_ms = self._parts.bounds().revocation_ms - REVOCATION_MARGIN_MS
+        limit_ms = (
+            self._dependencies.bounds().revocation_ms - REVOCATION_MARGIN_MS
+        )
         return self.configuration_age_ms() < limit_ms
 
     def is_configuration_current(self) -> bool:
         """Return whether every change due by now is in force here."""
-        limit_ms = self._parts.bounds().configuration_apply_ms
+        limit_ms = self._dependencies.bounds().configuration_apply_ms
         return self.configuration_age_ms() < limit_ms
 
     async def async_refresh_configuration(self) -> None:
@@ -93,7 +97,7 @@
         This is checked even after a grant: the owner's view may lag, and an
         engine may start draining while the grant is on its way.
         """
-        limit_ms = self._parts.bounds().drain_ms - SEND_MARGIN_MS
+        limit_ms = self._dependencies.bounds().drain_ms - SEND_MARGIN_MS
         if self.engines_age_ms() >= limit_ms:
             await self._engines_read.async_wait()
-        return not self._parts.directory.is_draining_or_removed(engine)
+        return not self._dependencies.directory.is_draining_or_removed(engine)
--- a/hornbeamdeck/process/gateway.py
+++ b/hornbeamdeck/process/gateway.py
@@ -55,7 +55,7 @@
 DRAIN_POLL_MS: Final = 50
 # Interval at which the owner logs the load of its engines.
 LOAD_LOG_INTERVAL_MS: Final = 2000
-# Imported when metrics are first read; see `front_metrics`.
+# Imported when metrics are first read; see `gateway_metrics`.
 METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.gateway_metrics_export'
 METRICS_CONTENT_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 # Longest time from the first to the last byte of a request.
@@ -71,7 +71,7 @@
         """Create the components; `async_start` opens the addresses."""
         self.settings = settings
         self.components = GatewayComponents.from_settings(settings, adapter)
-        self.proofs = FreshnessGuard(
+        self.freshness_guard = FreshnessGuard(
             FreshnessDependencies(
                 freshness=self.components.freshness,
                 directory=self.components.directory,
@@ -85,7 +85,7 @@
         self.in_flight = 0
         self._stop_requested_ms = math.inf
         self._adapter = adapter
-        self._store_entry = InstanceRegistration(
+        self._registration = InstanceRegistration(
             self.components.store, self.components.membership
         )
         self.listeners: list[Listener] = []
@@ -94,11 +94,11 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers may be directed to this process."""
-        parts = self.components
+        components = self.components
         return (
             not self.is_draining
-            and parts.follower.configuration.version > 0
-            and parts.directory.version > 0
+            and components.follower.configuration.version > 0
+            and components.directory.version > 0
         )
 
     async def async_start(self) -> None:
@@ -122,7 +122,7 @@
                 self.components.heartbeats.async_handle_request,
             ),
         )
-        callers = await self._async_listen_to_callers(self._make_edge())
+        callers = await self._async_listen_to_callers(self._make_context())
         self.listeners += (peers, callers)
         membership = self.components.membership
         membership.own_status = membership.own_status._replace(
@@ -144,16 +144,18 @@
         :returns: how many requests were cut off at the end of the grace
             period.
         """
-        parts = self.components
+        components = self.components
         self.is_draining = True
         self._stop_requested_ms = now_ms()
-        parts.membership.own_status = parts.membership.own_status._replace(
-            state=STATE_DRAINING,
+        components.membership.own_status = (
+            components.membership.own_status._replace(
+                state=STATE_DRAINING,
+            )
         )
         _LOGGER.info('planned stop begins', in_flight=self.in_flight)
-        await parts.heartbeats.async_send_heartbeats()
-        await parts.grants.async_move_to_current_owners()
-        await self._async_spawn(self._store_entry.async_deregister())
+        await components.heartbeats.async_send_heartbeats()
+        await components.grants.async_move_to_current_owners()
+        await self._async_spawn(self._registration.async_deregister())
         bounds = self.settings.bounds
         deadline_ms = (
             self._stop_requested_ms + bounds.grace_ms - SHUTDOWN_MARGIN_MS
@@ -190,24 +192,24 @@
         self.settings = settings
         _LOGGER.info('settings reloaded', changed=changed)
 
-    def _make_edge(self) -> GatewayContext:
-        parts = self.components
+    def _make_context(self) -> GatewayContext:
+        components = self.components
 
-        def _spend(team: str, tokens: int) -> None:
-            parts.spending.add(team, tokens, now_ms())
+        def _record_granted_tokens(team: str, tokens: int) -> None:
+            components.spending.add(team, tokens, now_ms())
 
         return GatewayContext(
             dialect=self._adapter.dialect,
-            configuration=lambda: parts.follower.configuration,
-            freshness_guard=self.proofs,
+            configuration=lambda: components.follower.configuration,
+            freshness_guard=self.freshness_guard,
             connection_pool=ConnectionPool(
-                lambda: len(parts.membership.ranked_ids(FLEET_CELL)),
+                lambda: len(components.membership.ranked_ids(FLEET_CELL)),
             ),
-            acquire_grant=parts.grants.async_acquire,
-            report_first_token=parts.grants.async_report_first_token,
-            release_grant=parts.grants.async_release,
-            record_granted_tokens=_spend,
-            metrics=parts.metrics,
+            acquire_grant=components.grants.async_acquire,
+            report_first_token=components.grants.async_report_first_token,
+            release_grant=components.grants.async_release,
+            record_granted_tokens=_record_granted_tokens,
+            metrics=components.metrics,
             zone=self.settings.availability_zone,
             is_draining=lambda: self.is_draining,
             shutdown_progress=self._elapsed_grace_share,
@@ -228,17 +230,19 @@
             self.in_flight -= 1
             self.components.metrics.in_flight = self.in_flight
 
-    async def _async_listen_to_callers(self, edge: GatewayContext) -> Listener:
+    async def _async_listen_to_callers(
+        self, context: GatewayContext
+    ) -> Listener:
         async def _async_run(
             admission: GatewayAdmission,
             caller: ServerConnection,
         ) -> None:
-            await async_run_gateway_request(edge, admission, caller)
+            await async_run_gateway_request(context, admission, caller)
 
-        respond = make_gateway_handler(edge, _async_run)
+        respond = make_gateway_handler(context, _async_run)
 
         def _refuse(bad: BadRequest) -> HttpResponse:
-            return refuse_unreadable(edge, bad)
+            return refuse_unreadable(context, bad)
 
         def _limits() -> ReadLimits:
             limits = self.components.follower.configuration.limits
@@ -270,35 +274,37 @@
     def _metrics_endpoint(self, _request: HttpRequest) -> HttpResponse:
         headers = {'content-type': METRICS_CONTENT_TYPE}
         self.components.metrics.record_confirmation_ages(
-            self.proofs.configuration_age_ms(),
-            self.proofs.engines_age_ms(),
+            self.freshness_guard.configuration_age_ms(),
+            self.freshness_guard.engines_age_ms(),
         )
         module = importlib.import_module(METRICS_EXPORT_MODULE)
         body: bytes = module.render(self.components.metrics)
         return HttpResponse(HTTPStatus.OK, headers, body)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.components
+        components = self.components
         for work in (
-            parts.reader.async_follow_configuration(),
-            parts.reader.async_follow_engines(),
-            parts.follower.async_fetch_hinted(
-                parts.snapshots.async_fetch_from_peer,
+            components.reader.async_follow_configuration(),
+            components.reader.async_follow_engines(),
+            components.follower.async_fetch_hinted(
+                components.snapshots.async_fetch_from_peer,
+            ),
+            components.snapshots.async_fetch_from_seeds(
+                self.settings.seed_peers
             ),
-            parts.snapshots.async_fetch_from_seeds(self.settings.seed_peers),
-            parts.heartbeats.async_run(),
-            parts.scheduler.async_refuse_expired(),
-            parts.grants.owner_watch.async_run(),
-            self._async_review_ownership(),
-            self._store_entry.async_register(),
-            self._store_entry.async_discover(),
+            components.heartbeats.async_run(),
+            components.scheduler.async_refuse_expired(),
+            components.grants.owner_watch.async_run(),
+            self._async_follow_ownership(),
+            self._registration.async_register(),
+            self._registration.async_discover(),
         ):
             await self._async_spawn(work)
 
     async def _async_spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(await spawn(work, daemon=True))
 
-    async def _async_review_ownership(self) -> None:
+    async def _async_follow_ownership(self) -> None:
         """Move requests when the owner changes; never returns."""
         was_owner = self.components.is_owner
         logged_ms = 0.0
--- a/hornbeamdeck/process/gateway_components.py
+++ b/hornbeamdeck/process/gateway_components.py
@@ -72,9 +72,9 @@
         calls by role.
     :param parse_configuration: parses a configuration document; takes its text
         and version.
-    :param handle_entries_request: responds to a caller that requests the addresses to
-        connect to; takes the request, the usable instances and for how long,
-        in ms, the response may be cached.
+    :param handle_entries_request: responds to a caller that requests the
+        addresses to connect to; takes the request, the usable instances and for
+        how long, in ms, the response may be cached.
     """
 
     open_store: Callable[[Address, Callable[[str], None]], StoreInterface]
@@ -154,7 +154,7 @@
         )
         spending = SpendingLog(settings.bounds.quota_window_ms)
         freshness = Freshness()
-        beats = Heartbeats(
+        heartbeats = Heartbeats(
             HeartbeatDependencies(
                 membership=membership,
                 peers=peers,
@@ -170,18 +170,20 @@
                 is_first_start=settings.is_first_start,
             ),
         )
-        fleet_share.append(beats.liveness.live_share)
+        fleet_share.append(heartbeats.liveness.live_share)
         grants = Grants(membership, peers, scheduler)
-        _register_handlers(peers, beats, grants)
+        _register_handlers(peers, heartbeats, grants)
         readers.append(
             StoreReader(
                 StoreReaderDependencies(
                     access=store,
                     freshness=freshness,
                     directory=directory,
-                    rank=beats.liveness.rank,
+                    rank=heartbeats.liveness.rank,
                     is_owner=lambda: _is_owner(membership),
-                    has_owner_lost_store=lambda: beats.has_owner_lost_store,
+                    has_owner_lost_store=lambda: (
+                        heartbeats.has_owner_lost_store
+                    ),
                     version=identity.configuration_version,
                     on_document=follower.async_note,
                     on_engines_changed=cells.apply_engines,
@@ -199,7 +201,7 @@
             cells=cells,
             peers=peers,
             grants=grants,
-            heartbeats=beats,
+            heartbeats=heartbeats,
             reader=readers[0],
             snapshots=Snapshots(follower, membership, identity),
             identity=identity,
@@ -295,16 +297,18 @@
     )
 
 
-def _register_handlers(peers: Peers, beats: Heartbeats, grants: Grants) -> None:
+def _register_handlers(
+    peers: Peers, heartbeats: Heartbeats, grants: Grants
+) -> None:
     async def _async_on_message(peer_id: str, message: Message) -> None:
         if isinstance(message, Beat | EngineList):
             grants.owner_watch.record_message(peer_id)
-            await beats.async_handle_response(peer_id, message)
+            await heartbeats.async_handle_response(peer_id, message)
             return
         await grants.async_receive(peer_id, message)
 
     async def _async_on_disconnect(peer_id: str) -> None:
-        beats.forget_sent(peer_id)
+        heartbeats.forget_sent(peer_id)
         await grants.async_owner_lost(peer_id)
 
     peers.set_callbacks(_async_on_message, _async_on_disconnect)
--- a/hornbeamdeck/process/gateway_metrics.py
+++ b/hornbeamdeck/process/gateway_metrics.py
@@ -1,6 +1,6 @@
 """Metrics of a gateway process.
 
-Counts are plain numbers; `front_metrics_page` converts them to the metrics
+Counts are plain numbers; `gateway_metrics_export` converts them to the metrics
 library's types. Only that module imports the library, and it is imported when
 metrics are first read, to reduce startup time and the memory of idle processes.
 """
--- a/hornbeamdeck/process/grants.py
+++ b/hornbeamdeck/process/grants.py
@@ -65,7 +65,7 @@
         self._link.set_callbacks(self.async_receive)
         self._waiting: dict[str, _Waiting] = {}
         self._running: dict[str, _Running] = {}
-        self._suspects = PoisonReports(membership, self._link)
+        self._poison_reports = PoisonReports(membership, self._link)
         self.owner_watch = OwnerWatch(peers, self._awaited_owners)
 
     @property
@@ -147,7 +147,7 @@
             case Refuse():
                 await self._async_refused(sender, message)
             case Suspect():
-                self._suspects.record(sender, message)
+                self._poison_reports.record(sender, message)
 
     async def async_owner_lost(self, owner: str) -> None:
         """Move the requests of a lost owner to the next one.
@@ -162,7 +162,7 @@
         """Move requests whose cells have changed owners."""
         owners = {each.owner for each in self._waiting.values()}
         owners |= {each.owner for each in self._running.values()}
-        owners |= self._suspects.owners()
+        owners |= self._poison_reports.owners()
         for owner in owners:
             await self._async_move(owner)
 
@@ -230,7 +230,7 @@
         queued = [
             each for each in self._waiting.values() if each.owner == owner
         ]
-        await self._suspects.async_move_to_successor(owner)
+        await self._poison_reports.async_move_to_successor(owner)
         for waiting in queued:
             if self._membership.owner_of(waiting.request.cell) != owner:
                 await self._async_leave_queue(waiting)
--- a/hornbeamdeck/process/heartbeats.py
+++ b/hornbeamdeck/process/heartbeats.py
@@ -48,7 +48,7 @@
 
 
 class HeartbeatDependencies(NamedTuple):
-    """Parts that heartbeats are built from and applied to.
+    """What heartbeats are built from and applied to.
 
     :param configuration_version: returns the configuration version held here.
     :param engine_slowness: returns the learned slowness of each engine.
@@ -75,22 +75,22 @@
 class Heartbeats:
     """Sends heartbeats, responds to them and applies what they report."""
 
-    def __init__(self, parts: HeartbeatDependencies) -> None:
+    def __init__(self, dependencies: HeartbeatDependencies) -> None:
         """Start counting this process's age."""
-        self._parts = parts
+        self._dependencies = dependencies
         self.has_owner_lost_store = False
         self._pace = HeartbeatPace(
-            lambda: len(parts.membership.ranked_ids(FLEET_CELL))
+            lambda: len(dependencies.membership.ranked_ids(FLEET_CELL))
         )
         self.liveness = Liveness(
-            parts.membership,
-            parts.configuration_version,
+            dependencies.membership,
+            dependencies.configuration_version,
             self._pace,
         )
         self._clock = HeartbeatClock(self.liveness.started_ms)
         self._unanswered_ms: dict[str, float] = {}
         self._sent_updates = SentUpdates(
-            parts.membership, self.liveness.live_ids
+            dependencies.membership, self.liveness.live_ids
         )
 
     async def async_run(self) -> None:
@@ -101,13 +101,13 @@
 
     async def async_send_heartbeats(self) -> None:
         """Send one heartbeat to each first-ranked instance."""
-        parts = self._parts
+        dependencies = self._dependencies
         now = now_ms()
         # When this process becomes the owner, it also counts the spending of
         # its own callers.
-        parts.spending_reports.record(
-            parts.membership.own_status.instance_id,
-            parts.spending.report(now),
+        dependencies.spending_reports.record(
+            dependencies.membership.own_status.instance_id,
+            dependencies.spending.report(now),
             self._spending_record_ms(now),
         )
         targets = self._targets()
@@ -133,10 +133,10 @@
             # The peer has restarted and lost what was sent to its predecessor
             # of the same name.
             self.forget_sent(peer_id)
-        beat = self._make_heartbeat(peer_id)
-        beat.present = self._sent_updates.unsent_live_ids(peer_id)
-        beat.statuses = self._sent_updates.unsent_statuses(peer_id)
-        await deliver(beat)
+        heartbeat = self._make_heartbeat(peer_id)
+        heartbeat.present = self._sent_updates.unsent_live_ids(peer_id)
+        heartbeat.statuses = self._sent_updates.unsent_statuses(peer_id)
+        await deliver(heartbeat)
         await self._async_send_engines(message, deliver)
 
     async def async_handle_response(
@@ -152,38 +152,38 @@
         self._apply_heartbeat(peer_id, message)
         if message.present is not None:
             self.liveness.record_reported_live(peer_id, message.present)
-        if peer_id == self._parts.membership.owner_of(FLEET_CELL):
+        if peer_id == self._dependencies.membership.owner_of(FLEET_CELL):
             self.has_owner_lost_store = not message.is_store_reached
 
         async def _async_deliver(reply: Message) -> None:
-            await self._parts.peers.async_send(peer_id, reply)
+            await self._dependencies.peers.async_send(peer_id, reply)
 
         await self._async_send_engines(message, _async_deliver)
 
     def forget_sent(self, peer_id: str) -> None:
         """Send everything to a peer again, since its connection was lost."""
-        self._sent_updates.forget(peer_id)
+        self._sent_updates.drop(peer_id)
 
     def _targets(self) -> list[str]:
-        membership = self._parts.membership
+        membership = self._dependencies.membership
         own_id = membership.own_status.instance_id
         ranked = membership.ranked_ids(FLEET_CELL)
         unsuspected = [
             each for each in ranked if each not in membership.suspected
         ]
         targets = unsuspected[:HEARTBEAT_RECEIVERS]
-        suspects = [
+        lost_peers = [
             each
             for each in ranked[: HEARTBEAT_RECEIVERS + 1]
             if each in membership.suspected
         ]
         # Without probes, only a request would detect that a lost owner is
         # reachable again.
-        targets += self._pace.select_probe_targets(suspects, now_ms())
+        targets += self._pace.select_probe_targets(lost_peers, now_ms())
         return [each for each in targets if each != own_id]
 
     async def _async_send_heartbeat(self, peer_id: str) -> None:
-        peers = self._parts.peers
+        peers = self._dependencies.peers
         now = now_ms()
         if (
             not peers.has_connection(peer_id)
@@ -205,11 +205,11 @@
         await peers.async_send(peer_id, self._make_heartbeat(peer_id))
 
     def _make_heartbeat(self, peer_id: str) -> Beat:
-        parts = self._parts
+        dependencies = self._dependencies
         now = now_ms()
         last = self.liveness.last_heartbeat(peer_id)
-        version = parts.configuration_version()
-        confirmed_ms = parts.freshness.confirmed_ms(version)
+        version = dependencies.configuration_version()
+        confirmed_ms = dependencies.freshness.confirmed_ms(version)
         return Beat(
             stamp_ms=self._clock.stamp_ms(now),
             echo_ms=last.stamp_ms,
@@ -217,30 +217,32 @@
             configuration_age_ms=confirmation_age_ms(
                 last.received_ms, confirmed_ms
             ),
-            engines_version=parts.directory.version,
+            engines_version=dependencies.directory.version,
             engines_age_ms=confirmation_age_ms(
                 last.received_ms,
-                parts.directory.confirmed_ms,
+                dependencies.directory.confirmed_ms,
             ),
             status=self._sent_updates.unsent_own_status(peer_id, now),
             memory_ms=int(self._spending_record_ms(now)),
-            spent=parts.spending.report(now),
-            is_store_reached=parts.is_store_reached(),
+            spent=dependencies.spending.report(now),
+            is_store_reached=dependencies.is_store_reached(),
         )
 
-    def _apply_heartbeat(self, peer_id: str, beat: Beat) -> None:
-        parts = self._parts
-        if beat.status:
-            self._apply_status(beat.status)
-        for text in beat.statuses or ():
+    def _apply_heartbeat(self, peer_id: str, heartbeat: Beat) -> None:
+        dependencies = self._dependencies
+        if heartbeat.status:
+            self._apply_status(heartbeat.status)
+        for text in heartbeat.statuses or ():
             self._apply_status(text)
         self.liveness.record_heartbeat(
             peer_id,
-            beat.stamp_ms,
-            is_usable=beat.configuration_version > 0,
+            heartbeat.stamp_ms,
+            is_usable=heartbeat.configuration_version > 0,
         )
-        parts.spending_reports.record(peer_id, beat.spent, beat.memory_ms)
-        if not beat.echo_ms:
+        dependencies.spending_reports.record(
+            peer_id, heartbeat.spent, heartbeat.memory_ms
+        )
+        if not heartbeat.echo_ms:
             return
         # The peer's ages count back from the arrival of the heartbeat that it
         # echoes. This process stamped that heartbeat before it arrived, so
@@ -248,20 +250,26 @@
         now = now_ms()
         for target, version, age_ms in (
             (
-                parts.freshness,
-                beat.configuration_version,
-                beat.configuration_age_ms,
+                dependencies.freshness,
+                heartbeat.configuration_version,
+                heartbeat.configuration_age_ms,
+            ),
+            (
+                dependencies.directory,
+                heartbeat.engines_version,
+                heartbeat.engines_age_ms,
             ),
-            (parts.directory, beat.engines_version, beat.engines_age_ms),
         ):
-            requested_ms = self._clock.requested_ms(beat.echo_ms, age_ms, now)
+            requested_ms = self._clock.requested_ms(
+                heartbeat.echo_ms, age_ms, now
+            )
             if requested_ms is None:
                 _LOGGER.warning('proof not accepted', peer=peer_id)
                 return
             target.confirm(version, requested_ms)
 
     def _spending_record_ms(self, now: float) -> float:
-        if self._parts.is_first_start:
+        if self._dependencies.is_first_start:
             # No spending precedes the first start, so the record is complete.
             return NEVER_CONFIRMED_AGE_MS
         return now - self.liveness.started_ms
@@ -272,27 +280,31 @@
         except ValueError:
             _LOGGER.warning('peer sent an invalid status object', text=text)
             return
-        membership = self._parts.membership
+        membership = self._dependencies.membership
         if status.instance_id == membership.own_status.instance_id:
             return
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
         if membership.status_of(status.instance_id) != status:
             membership.apply_status(StoredObject(key, 0, text))
 
-    async def _async_send_engines(self, beat: Beat, deliver: Deliver) -> None:
-        directory = self._parts.directory
-        if beat.engines_version < directory.version:
-            await deliver(directory.to_wire(self._parts.engine_slowness()))
+    async def _async_send_engines(
+        self, heartbeat: Beat, deliver: Deliver
+    ) -> None:
+        directory = self._dependencies.directory
+        if heartbeat.engines_version < directory.version:
+            await deliver(
+                directory.to_wire(self._dependencies.engine_slowness())
+            )
 
     def _apply_engines(self, message: EngineList) -> None:
-        parts = self._parts
+        dependencies = self._dependencies
         try:
             engines = [engine_from_wire(entry) for entry in message.engines]
         except ValueError:
             _LOGGER.warning('peer sent an invalid engine entry')
             return
-        if parts.directory.update(message.version, engines):
-            parts.apply_slowness(
+        if dependencies.directory.update(message.version, engines):
+            dependencies.apply_slowness(
                 {entry.name: entry.slowness for entry in message.engines},
             )
-            parts.on_engines_changed()
+            dependencies.on_engines_changed()
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -38,9 +38,9 @@
 class Instance:
     """An instance; tests run several of them in one process."""
 
-    def __init__(self, parts: InstanceComponents) -> None:
+    def __init__(self, components: InstanceComponents) -> None:
         """Create the instance; `async_start` opens the addresses."""
-        self.components = parts
+        self.components = components
         self.is_draining = False
         self.in_flight = 0
         self._listeners: list[Listener] = []
@@ -57,23 +57,23 @@
         The store may be down at startup. The tasks retry, and the
         configuration is received later from peers or from the store.
         """
-        parts = self.components
+        components = self.components
         callers = await async_setup_listener(
-            parts.settings.address,
+            components.settings.address,
             self._serve_callers(),
         )
         serve_peer = make_peer_server(
-            parts.identity,
-            parts.scheduler,
-            parts.follower,
-            parts.snapshots,
+            components.identity,
+            components.scheduler,
+            components.follower,
+            components.snapshots,
         )
         peers = await async_setup_listener(
-            parts.settings.peer_address,
+            components.settings.peer_address,
             serve_peer,
         )
         self._listeners = [callers, peers]
-        parts.membership.own_status = self.own._replace(
+        components.membership.own_status = self.own._replace(
             address=callers.address,
             peer_address=peers.address,
         )
@@ -89,19 +89,23 @@
 
         :returns: how many requests were cut off at the drain deadline.
         """
-        parts = self.components
+        components = self.components
         self.is_draining = True
-        parts.membership.own_status = self.own._replace(state=STATE_DRAINING)
+        components.membership.own_status = self.own._replace(
+            state=STATE_DRAINING
+        )
         _LOGGER.info('planned stop begins', pending=self._pending())
         # This write does not count as pending work: if the store is down, it
         # would delay the shutdown until its deadline although no caller waits
         # for it.
-        await self._async_spawn_task(parts.presence.async_publish())
-        await parts.grants.async_move_to_current_owners()
-        deadline_ms = now_ms() + parts.settings.drain_ms
+        await self._async_spawn_task(components.membership_sync.async_publish())
+        await components.grants.async_move_to_current_owners()
+        deadline_ms = now_ms() + components.settings.drain_ms
         # Callers cache the list of addresses for this time and continue to
         # connect to this instance.
-        ttl_ms = min(parts.settings.entries_ttl_ms, parts.settings.drain_ms)
+        ttl_ms = min(
+            components.settings.entries_ttl_ms, components.settings.drain_ms
+        )
         await sleep(ttl_ms / MILLIS_PER_SECOND)
         await self._listeners[0].async_stop_accepting()
         await self._async_drain(deadline_ms)
@@ -123,24 +127,24 @@
 
     def request_context(self) -> AnswerContext:
         """Return what a request needs, with the current configuration."""
-        parts = self.components
+        components = self.components
         return AnswerContext(
-            configuration=parts.follower.configuration,
-            policy=parts.policy,
-            execution_rights=parts.once,
-            metrics=parts.metrics,
-            background=parts.background,
+            configuration=components.follower.configuration,
+            policy=components.policy,
+            execution_rights=components.execution_rights,
+            metrics=components.metrics,
+            background=components.background,
         )
 
     def _serve_callers(self) -> ServeConnection:
-        routing = RouterContext(
+        router_context = RouterContext(
             make_answer_context=self.request_context,
             membership=self.components.membership,
             entries_ttl_ms=self.components.settings.entries_ttl_ms,
             is_draining=lambda: self.is_draining,
             track_in_flight=self._count_in_flight,
         )
-        respond = make_answer(routing)
+        respond = make_answer(router_context)
 
         async def _async_serve(sock: socket.socket) -> None:
             await async_serve_requests(sock, respond, refuse_unreadable)
@@ -158,26 +162,28 @@
             self.components.metrics.in_flight.set(self.in_flight)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.components
+        components = self.components
         forever = [
             async_follow(
-                parts.platform,
+                components.platform,
                 KEY_CONFIGURATION,
-                parts.follower.async_note,
+                components.follower.async_note,
                 role=CONFIGURATION_ROLE,
             ),
-            parts.follower.async_fetch_hinted(
-                parts.snapshots.async_fetch_from_peer,
+            components.follower.async_fetch_hinted(
+                components.snapshots.async_fetch_from_peer,
+            ),
+            components.snapshots.async_fetch_from_seeds(
+                components.settings.seed_peers
             ),
-            parts.snapshots.async_fetch_from_seeds(parts.settings.seed_peers),
-            parts.presence.async_follow_statuses(),
-            parts.presence.async_poll_instance_list(),
-            parts.scheduler.async_refuse_expired(),
-            parts.grants.owner_watch.async_run(),
+            components.membership_sync.async_follow_statuses(),
+            components.membership_sync.async_poll_instance_list(),
+            components.scheduler.async_refuse_expired(),
+            components.grants.owner_watch.async_run(),
         ]
-        if parts.settings.policy == 'least_reported_load':
-            forever.append(parts.reports.async_poll())
-        forever.append(parts.presence.async_publish())
+        if components.settings.policy == 'least_reported_load':
+            forever.append(components.reports.async_poll())
+        forever.append(components.membership_sync.async_publish())
         for coroutine in forever:
             await self._async_spawn_task(coroutine)
 
--- a/hornbeamdeck/process/instance_components.py
+++ b/hornbeamdeck/process/instance_components.py
@@ -53,9 +53,9 @@
     peers: Peers
     grants: Grants
     background: Background
-    once: IdempotencyContext
+    execution_rights: IdempotencyContext
     reports: LoadReports
-    presence: MembershipSync
+    membership_sync: MembershipSync
     identity: PeerIdentity
     snapshots: Snapshots[Configuration]
     policy: Policy
@@ -87,14 +87,16 @@
             peers=peers,
             grants=grants,
             background=background,
-            once=IdempotencyContext(
+            execution_rights=IdempotencyContext(
                 Claims(platform, background),
                 IssuedKeyCalls(),
                 membership,
                 settings.fleet_secret,
             ),
             reports=reports,
-            presence=MembershipSync(platform, membership, scheduler, grants),
+            membership_sync=MembershipSync(
+                platform, membership, scheduler, grants
+            ),
             identity=identity,
             snapshots=Snapshots(follower, membership, identity),
             policy=_with_wait_metric(
--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -108,7 +108,7 @@
         self._own = own
         self.suspected = SuspectedInstances(suspect_ms)
         self.is_published = False
-        # Counts the calls of `note_status`. Code that forwards statuses to
+        # Counts the calls of `apply_status`. Code that forwards statuses to
         # peers compares it to detect changes.
         self.change_count = 0
         self._statuses: dict[str, InstanceStatus] = {}
--- a/hornbeamdeck/process/membership_sync.py
+++ b/hornbeamdeck/process/membership_sync.py
@@ -29,7 +29,7 @@
         scheduler: Scheduler,
         grants: Grants,
     ) -> None:
-        """Use the parts that depend on the membership."""
+        """Use the components that depend on the membership."""
         self._platform = platform
         self._membership = membership
         self._scheduler = scheduler
--- a/hornbeamdeck/process/poison_reports.py
+++ b/hornbeamdeck/process/poison_reports.py
@@ -28,28 +28,28 @@
         """Start without suspected requests."""
         self._membership = membership
         self._link = link
-        self._suspects: dict[str, _ReportedSuspect] = {}
+        self._reports: dict[str, _ReportedSuspect] = {}
 
     def record(self, owner: str, suspect: Suspect) -> None:
         """Record a suspected request that an owner reports."""
-        self._suspects.pop(suspect.fingerprint, None)
-        self._suspects[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
-        if len(self._suspects) > MAX_SUSPECTS:
-            self._suspects.pop(next(iter(self._suspects)))
+        self._reports.pop(suspect.fingerprint, None)
+        self._reports[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
+        if len(self._reports) > MAX_SUSPECTS:
+            self._reports.pop(next(iter(self._reports)))
 
     def owners(self) -> set[str]:
         """Return the owners that have any of these suspected requests."""
-        return {each.owner for each in self._suspects.values()}
+        return {each.owner for each in self._reports.values()}
 
     async def async_move_to_successor(self, owner: str) -> None:
         """Report an owner's suspected requests to its successors."""
         reported = [
-            each for each in self._suspects.values() if each.owner == owner
+            each for each in self._reports.values() if each.owner == owner
         ]
         for suspect, _ in reported:
             successor = self._membership.owner_of(suspect.cell)
             if successor != owner:
-                self._suspects[suspect.fingerprint] = _ReportedSuspect(
+                self._reports[suspect.fingerprint] = _ReportedSuspect(
                     suspect, successor
                 )
                 await self._link.async_send(successor, suspect)
--- a/hornbeamdeck/process/scheduler.py
+++ b/hornbeamdeck/process/scheduler.py
@@ -29,7 +29,7 @@
 
 _LOGGER = structlog.get_logger(prefix='scheduler')
 
-SWEEP_MS: Final = 25
+EXPIRY_CHECK_INTERVAL_MS: Final = 25
 
 AnyCell: TypeAlias = Cell | EngineCell
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without cells; `adopt` adds them."""
+        """Start without cells; `apply_configuration` adds them."""
         self.cells: dict[str, AnyCell] = {}
         self._draining: frozenset[str] = frozenset()
         self._has_waiting = Event()
@@ -140,7 +140,7 @@
             if not any(map(len, self.cells.values())):
                 self._has_waiting.clear()
                 await self._has_waiting.wait()
-            await sleep(SWEEP_MS / MILLIS_PER_SECOND)
+            await sleep(EXPIRY_CHECK_INTERVAL_MS / MILLIS_PER_SECOND)
             await self.async_evaluate_cells()
 
     async def _async_enqueue(
--- a/hornbeamdeck/process/sent_updates.py
+++ b/hornbeamdeck/process/sent_updates.py
@@ -52,8 +52,8 @@
         self._sent_live_ids: dict[str, frozenset[str]] = {}
         self._sent_own_status: dict[str, _SentStatus] = {}
 
-    def forget(self, peer_id: str) -> None:
-        """Forget what was sent to a peer, so that all is sent again."""
+    def drop(self, peer_id: str) -> None:
+        """Drop the record of what a peer was sent, so that all is resent."""
         self._sent_statuses.pop(peer_id, None)
         self._sent_live_ids.pop(peer_id, None)
         self._sent_own_status.pop(peer_id, None)
@@ -75,7 +75,7 @@
 
         The status object takes up half of a heartbeat's bytes and hardly ever
         changes. A heartbeat may be lost with its connection, so the status is
-        sent again after `TELL_AGAIN_MS`.
+        sent again after `STATUS_RESEND_MS`.
 
         :returns: an empty string if the peer needs no status now.
         """
--- a/hornbeamdeck/process/snapshots.py
+++ b/hornbeamdeck/process/snapshots.py
@@ -53,7 +53,7 @@
         membership: Membership,
         identity: PeerIdentity,
     ) -> None:
-        """Use the parts that snapshots are made from and applied to."""
+        """Use the components that snapshots are made from and applied to."""
         self._follower = follower
         self._membership = membership
         self._identity = identity
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -85,9 +85,9 @@
 class StoreReader:
     """Reads the store for this process and, through heartbeats, for others."""
 
-    def __init__(self, parts: StoreReaderDependencies) -> None:
+    def __init__(self, dependencies: StoreReaderDependencies) -> None:
         """Create the reader; reading starts with the `async_follow` methods."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._registry = StoreEngineList()
         self._engines_revision = 0
         self._has_engines_read_failed = False
@@ -103,7 +103,7 @@
                 is_watching = False
                 await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
                 continue
-            if is_watching and self._parts.is_owner():
+            if is_watching and self._dependencies.is_owner():
                 is_watching = await self._async_watch_configuration()
             else:
                 is_watching = await self.async_read_configuration()
@@ -118,7 +118,7 @@
         """Keep the list of engines current; never returns."""
         revision = 0
         while True:
-            age_ms = self._parts.directory.age_ms(now_ms())
+            age_ms = self._dependencies.directory.age_ms(now_ms())
             if not self._is_due(age_ms, ENGINES_MAX_AGE_MS):
                 revision = 0
                 await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
@@ -136,7 +136,7 @@
         :returns: whether the store returned a document.
         """
         requested_ms = now_ms()
-        response = await self._parts.access.read_configuration()
+        response = await self._dependencies.access.read_configuration()
         if isinstance(response, Err):
             self._record_failure('configuration', response.err_value)
             return False
@@ -153,8 +153,8 @@
 
     async def _async_watch_configuration(self) -> bool:
         requested_ms = now_ms()
-        version = self._parts.version()
-        response = await self._parts.access.watch_configuration(
+        version = self._dependencies.version()
+        response = await self._dependencies.access.watch_configuration(
             version, WATCH_TIMEOUT_MS
         )
         if isinstance(response, Err):
@@ -164,7 +164,7 @@
         read = response.ok_value
         if read.document is None:
             # The store held no newer version when the request was sent.
-            self._parts.freshness.confirm(version, requested_ms)
+            self._dependencies.freshness.confirm(version, requested_ms)
             return True
         await self._async_apply_configuration(read, requested_ms)
         return True
@@ -175,12 +175,12 @@
         if read.document is None:
             return
         stored = StoredObject(KEY_CONFIGURATION, read.revision, read.document)
-        await self._parts.on_document(stored)
-        self._parts.freshness.confirm(read.revision, requested_ms)
+        await self._dependencies.on_document(stored)
+        self._dependencies.freshness.confirm(read.revision, requested_ms)
 
     async def _async_read_engines(self, revision: int) -> int:
         requested_ms = now_ms()
-        access = self._parts.access
+        access = self._dependencies.access
         if revision:
             response = await access.watch_engines(revision, WATCH_TIMEOUT_MS)
         else:
@@ -203,7 +203,7 @@
         *,
         is_complete: bool,
     ) -> None:
-        directory = self._parts.directory
+        directory = self._dependencies.directory
         now = now_ms()
         if read.revision < self._engines_revision:
             # This read is older than the last one that was applied.
@@ -238,33 +238,37 @@
                     if engine.is_draining
                 ),
             )
-            self._parts.on_engines_changed()
+            self._dependencies.on_engines_changed()
         directory.confirm_revision(read.revision, requested_ms)
 
     def _is_due(self, age_ms: float, max_age_ms: float) -> bool:
-        parts = self._parts
-        if parts.is_owner():
+        dependencies = self._dependencies
+        if dependencies.is_owner():
             return True
-        wait_ms = min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
-        if parts.has_owner_lost_store():
+        wait_ms = min(dependencies.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
+        if dependencies.has_owner_lost_store():
             max_age_ms = OWNER_LOST_MAX_AGE_MS
         return age_ms > max_age_ms + wait_ms
 
     def _check_interval_ms(self) -> int:
         return (
             CHECK_INTERVAL_MS
-            if self._parts.rank() < HEARTBEAT_RECEIVERS
+            if self._dependencies.rank() < HEARTBEAT_RECEIVERS
             else SLOW_CHECK_INTERVAL_MS
         )
 
     def _retry_ms(self) -> int:
-        parts = self._parts
-        if parts.is_owner():
+        dependencies = self._dependencies
+        if dependencies.is_owner():
             return RETRY_MS
-        return RETRY_MS + min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
+        return RETRY_MS + min(
+            dependencies.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS
+        )
 
     def _configuration_age(self) -> float:
-        return self._parts.freshness.age_ms(self._parts.version(), now_ms())
+        return self._dependencies.freshness.age_ms(
+            self._dependencies.version(), now_ms()
+        )
 
     def _record_failure(self, resource: str, error: StoreUnavailable) -> None:
         if self.is_store_reached:
--- a/hornbeamdeck/request/admitted_request.py
+++ b/hornbeamdeck/request/admitted_request.py
@@ -50,7 +50,7 @@
 
 
 async def async_answer_admitted_request(
-    parts: AnswerContext,
+    context: AnswerContext,
     admission: Admission,
     caller: ServerConnection,
 ) -> None:
@@ -60,21 +60,21 @@
     connection is broken.
     """
     if admission.is_repeatable:
-        await _async_run(parts, admission, None, caller)
+        await _async_run(context, admission, None, caller)
         return
     claimed = await async_acquire_execution_right(
-        parts.execution_rights, admission
+        context.execution_rights, admission
     )
     if isinstance(claimed, Err):
-        await async_fail(parts.metrics, admission, claimed.err_value, caller)
+        await async_fail(context.metrics, admission, claimed.err_value, caller)
         return
     match claimed.ok_value:
-        case Once() as once:
-            await _async_run(parts, admission, once, caller)
+        case Once() as execution_right:
+            await _async_run(context, admission, execution_right, caller)
         case Recorded() as recorded:
-            await _async_replay(parts, admission, recorded, caller)
+            await _async_replay(context, admission, recorded, caller)
         case HttpResponse() as forwarded:
-            parts.metrics.count(*_metric_labels(admission), 'forwarded')
+            context.metrics.count(*_metric_labels(admission), 'forwarded')
             await caller.async_respond(forwarded)
 
 
@@ -83,54 +83,54 @@
 
 
 async def _async_run(
-    parts: AnswerContext,
+    context: AnswerContext,
     admission: Admission,
-    once: Once | None,
+    execution_right: Once | None,
     caller: ServerConnection,
 ) -> None:
     placed = None
     try:
         placed = await async_acquire_upstream(
             admission,
-            parts.configuration,
-            parts.policy,
+            context.configuration,
+            context.policy,
         )
     finally:
         # This also runs if the request is refused, or if its caller
         # disconnects while it is queued.
-        if once is not None and not isinstance(placed, Ok):
-            await once.release()
+        if execution_right is not None and not isinstance(placed, Ok):
+            await execution_right.release()
     if isinstance(placed, Err):
-        await async_fail(parts.metrics, admission, placed.err_value, caller)
+        await async_fail(context.metrics, admission, placed.err_value, caller)
         return
-    if once is None:
+    if execution_right is None:
         relayed = await async_relay(
             admission,
             placed.ok_value,
-            parts.policy,
+            context.policy,
             caller,
             limit_ms=admission.left_ms,
         )
     else:
         relayed = await _async_run_claimed(
-            parts,
+            context,
             admission,
             placed.ok_value,
-            once,
+            execution_right,
         )
     if isinstance(relayed, Err):
-        await async_fail(parts.metrics, admission, relayed.err_value, caller)
+        await async_fail(context.metrics, admission, relayed.err_value, caller)
         return
-    parts.metrics.count(*_metric_labels(admission), 'ran')
+    context.metrics.count(*_metric_labels(admission), 'ran')
     if not caller.has_response_started:
         await caller.async_respond(relayed.ok_value)
 
 
 async def _async_run_claimed(
-    parts: AnswerContext,
+    context: AnswerContext,
     admission: Admission,
     placement: Placement,
-    once: Once,
+    execution_right: Once,
 ) -> Result[HttpResponse, Unknown]:
     """Run a non-idempotent call to its end, even if its caller disconnects.
 
@@ -144,15 +144,15 @@
         relayed = await async_relay(
             admission,
             placement,
-            parts.policy,
+            context.policy,
             None,
             limit_ms=admission.left_ms + CLAIMED_RUN_GRACE_MS,
         )
         if not isinstance(relayed, Err):
-            await once.record(relayed.ok_value)
+            await execution_right.record(relayed.ok_value)
         return relayed
 
-    work = await parts.background.async_spawn(_async_run_and_record())
+    work = await context.background.async_spawn(_async_run_and_record())
     try:
         relayed: Result[HttpResponse, Unknown] = await async_with_timeout(
             admission.left_ms,
@@ -186,12 +186,12 @@
 
 
 async def _async_replay(
-    parts: AnswerContext,
+    context: AnswerContext,
     admission: Admission,
     recorded: Recorded,
     caller: ServerConnection,
 ) -> None:
-    parts.metrics.count(*_metric_labels(admission), 'replay')
+    context.metrics.count(*_metric_labels(admission), 'replay')
     response = recorded.response
     headers = {
         **response.headers,
--- a/hornbeamdeck/request/claim.py
+++ b/hornbeamdeck/request/claim.py
@@ -88,9 +88,9 @@
                 )
         if claimed is None:
             return Err(platform_down())
-        return claimed.map(self._to_once)
+        return claimed.map(self._to_execution_right)
 
-    def _to_once(self, claimed: Claim | Recorded) -> Once | Recorded:
+    def _to_execution_right(self, claimed: Claim | Recorded) -> Once | Recorded:
         if isinstance(claimed, Recorded):
             return claimed
         return Once(
--- a/hornbeamdeck/request/endpoints.py
+++ b/hornbeamdeck/request/endpoints.py
@@ -50,29 +50,31 @@
 
 def answer_own_endpoint(
     routing: RouterContext,
-    parts: AnswerContext,
+    context: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> HttpResponse:
     """Answer a request whose path is not forwarded to an upstream."""
     match request.path:
         case '/healthz':
-            return _health(routing, parts)
+            return _health(routing, context)
         case '/metrics':
             headers = {'content-type': METRICS_TYPE}
-            return HttpResponse(HTTPStatus.OK, headers, parts.metrics.render())
+            return HttpResponse(
+                HTTPStatus.OK, headers, context.metrics.render()
+            )
     endpoint = _TEAM_ENDPOINTS.get(request.path)
     if endpoint is None:
         refusal = NotRun(HTTPStatus.NOT_FOUND, 'no_such_path', 'no such path')
         return to_response(refusal, request_id)
-    team = authenticate_team(parts.configuration, request.headers)
+    team = authenticate_team(context.configuration, request.headers)
     if isinstance(team, Err):
         return to_response(team.err_value, request_id)
-    return endpoint(routing, parts, team.ok_value, request_id)
+    return endpoint(routing, context, team.ok_value, request_id)
 
 
-def _health(routing: RouterContext, parts: AnswerContext) -> HttpResponse:
-    version = parts.configuration.version
+def _health(routing: RouterContext, context: AnswerContext) -> HttpResponse:
+    version = context.configuration.version
     if routing.is_draining():
         return _json_response(
             HTTPStatus.SERVICE_UNAVAILABLE, {'state': 'leaving'}
@@ -106,7 +108,7 @@
 
 def _issue_idempotency_key(
     routing: RouterContext,
-    parts: AnswerContext,
+    context: AnswerContext,
     team: Team,
     request_id: str,
 ) -> HttpResponse:
@@ -119,20 +121,20 @@
             'this instance is leaving; ask another',
         )
         return to_response(refusal, request_id)
-    key = issue_key_for_team(parts.execution_rights, team.name)
+    key = issue_key_for_team(context.execution_rights, team.name)
     return _json_response(HTTPStatus.CREATED, {'idempotency_key': key})
 
 
 def _models(
     _routing: RouterContext,
-    parts: AnswerContext,
+    context: AnswerContext,
     team: Team,
     _request_id: str,
 ) -> HttpResponse:
     models = [
         {**MODEL_FIELDS, 'id': name}
         for name in team.services
-        if parts.configuration.services[name].is_model
+        if context.configuration.services[name].is_model
     ]
     return _json_response(HTTPStatus.OK, {'object': 'list', 'data': models})
 
--- a/hornbeamdeck/request/engine_attempts.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        edge: GatewayContext,
+        context: GatewayContext,
         admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
@@ -50,13 +50,13 @@
         self.longest_gap_ms = 0.0
         self.is_possibly_executing = False
         self.last_event_id = admission.request.last_event_id
-        self._edge = edge
+        self._context = context
         self._admission = admission
         self._caller = caller
         self._last_event_ms = 0.0
-        self._link = EngineConnection(
-            edge.connection_pool,
-            may_repeat=admission.route.is_repeatable,
+        self._engine_connection = EngineConnection(
+            context.connection_pool,
+            is_repeatable=admission.route.is_repeatable,
         )
 
     @property
@@ -75,7 +75,7 @@
         :returns: how the attempt ended; a complete response that is not a
             stream is left in `response`.
         """
-        opened = await self._link.async_open(grant)
+        opened = await self._engine_connection.async_open(grant)
         if isinstance(opened, Err):
             self.cause = opened.err_value.cause
             return RunEnd.NOT_DISPATCHED
@@ -86,7 +86,7 @@
         if isinstance(head, Err):
             self.cause = head.err_value.cause
             return RunEnd.FAILED
-        self._link.record_keep_alive(head.ok_value)
+        self._engine_connection.record_keep_alive(head.ok_value)
         return await self._async_relay(head.ok_value, sent_ms)
 
     async def async_close(self, end: RunEnd) -> None:
@@ -94,7 +94,7 @@
 
         :param end: how the run ended.
         """
-        await self._link.async_close(end)
+        await self._engine_connection.async_close(end)
 
     async def _async_send_and_read_head(
         self,
@@ -102,15 +102,15 @@
         engine: str,
     ) -> Result[HttpResponse, ConnectionBroken]:
         admission = self._admission
-        dispatch = EngineAttempt(
+        attempt = EngineAttempt(
             engine=engine,
             team=admission.team_name,
             left_ms=admission.left_ms,
             last_event_id=self.last_event_id,
         )
         request = admission.request.http_request._replace(
-            headers=self._edge.dialect.engine_headers(
-                admission.request, dispatch
+            headers=self._context.dialect.engine_headers(
+                admission.request, attempt
             ),
         )
         self.is_possibly_executing = True
@@ -124,7 +124,7 @@
         head: HttpResponse,
         sent_ms: float,
     ) -> RunEnd:
-        match self._edge.dialect.classify_response(
+        match self._context.dialect.classify_response(
             self._admission.request, head
         ):
             case ResponseVerdict.REJECTED:
@@ -148,7 +148,7 @@
     async def _async_read_whole(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
-        connection = self._link.connection
+        connection = self._engine_connection.connection
         if connection is None:
             return RunEnd.CANCELLED
         body = await self._async_read_with_timeout(connection.async_read_body())
@@ -161,7 +161,7 @@
             # A stream was to be resumed, but this response is not a stream.
             self.cause = f'not a stream, status {head.status}'
             return RunEnd.FAILED
-        self.response = self._edge.dialect.caller_response(whole)
+        self.response = self._context.dialect.caller_response(whole)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.cause = f'status {head.status}'
             return RunEnd.ERRORED
@@ -170,8 +170,8 @@
     async def _async_relay_stream(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
-        feed = EventParser()
-        connection = self._link.connection
+        parser = EventParser()
+        connection = self._engine_connection.connection
         end: RunEnd | None = None
         while connection is not None and end is None:
             piece = await self._async_read_with_timeout(
@@ -181,13 +181,13 @@
                 self.cause = piece.err_value.cause
                 return RunEnd.FAILED
             if not piece.ok_value:
-                return await self._async_end_stream(feed)
-            events = feed.add_piece(piece.ok_value)
+                return await self._async_end_stream(parser)
+            events = parser.add_piece(piece.ok_value)
             end = await self._async_relay_events(head, events, sent_ms)
         return end or RunEnd.CANCELLED
 
-    async def _async_end_stream(self, feed: EventParser) -> RunEnd:
-        if feed.has_partial_event or not self._caller.has_response_started:
+    async def _async_end_stream(self, parser: EventParser) -> RunEnd:
+        if parser.has_partial_event or not self._caller.has_response_started:
             self.cause = 'the stream ended within an event'
             return RunEnd.FAILED
         await self._caller.async_end_response()
@@ -210,17 +210,17 @@
         if not unsent:
             return None
         if not self._caller.has_response_started:
-            response = self._edge.dialect.caller_response(head)
+            response = self._context.dialect.caller_response(head)
             await self._caller.async_start_response(
                 response.status, response.headers
             )
         if not self.first_ms:
             self._record_first_byte(sent_ms)
-            await self._edge.report_first_token(
+            await self._context.report_first_token(
                 self._admission.request.request_id,
                 self.first_ms,
             )
-            self._edge.metrics.record_first_token(self.first_ms)
+            self._context.metrics.record_first_token(self.first_ms)
         self._record_gap()
         encoded = b''.join(event.encoded for event in unsent)
         relayed = await self._caller.async_send_chunk(encoded)
--- a/hornbeamdeck/request/engine_connection.py
+++ b/hornbeamdeck/request/engine_connection.py
@@ -30,17 +30,17 @@
 class EngineConnection:
     """A pooled or new connection, returned to the pool where possible."""
 
-    def __init__(self, pool: ConnectionPool, *, may_repeat: bool) -> None:
+    def __init__(self, pool: ConnectionPool, *, is_repeatable: bool) -> None:
         """Initialize; no connection is opened yet.
 
         :param pool: the pool of idle connections.
-        :param may_repeat: whether the request may run twice. Only then is a
+        :param is_repeatable: whether the request may run twice. Only then is a
             pooled connection used, since it may break as the request is
             written.
         """
         self.connection: ClientConnection | None = None
         self._pool = pool
-        self._may_repeat = may_repeat
+        self._is_repeatable = is_repeatable
         self._engine = ''
         self._was_pooled = False
         self._idle_ms = 0.0
@@ -52,7 +52,7 @@
         """Take a connection to the granted engine from the pool or open one."""
         self._engine = grant.upstream
         pooled = None
-        if self._may_repeat:
+        if self._is_repeatable:
             pooled = await self._pool.async_acquire(grant.upstream)
         self._was_pooled = pooled is not None
         if pooled is not None:
@@ -64,7 +64,7 @@
         opened = await ClientConnection.async_open(
             Address.from_text(grant.address),
             timeout_ms=CONNECT_TIMEOUT_MS,
-            unheard_ms=ACK_TIMEOUT_MS if self._may_repeat else 0,
+            ack_timeout_ms=ACK_TIMEOUT_MS if self._is_repeatable else 0,
         )
         if isinstance(opened, Ok):
             self.connection = opened.ok_value
--- a/hornbeamdeck/request/execution_right.py
+++ b/hornbeamdeck/request/execution_right.py
@@ -17,7 +17,7 @@
 
     :param record: stores the outcome for later requests with the same key.
     :param release: gives the right back; allowed only if the call was
-        certainly not dispatched.
+        certainly not sent to an upstream.
     """
 
     record: Callable[[HttpResponse], Awaitable[None]]
--- a/hornbeamdeck/request/gateway_admission.py
+++ b/hornbeamdeck/request/gateway_admission.py
@@ -1,4 +1,4 @@
-"""Finds the route and the team of a routed request before it is queued."""
+"""Finds the route and the team of a gateway request before it is queued."""
 
 import random
 from collections.abc import Callable
@@ -106,8 +106,8 @@
 
 async def async_admit(
     configuration: Callable[[], GatewayConfiguration],
-    proofs: FreshnessGuard,
-    ask: GatewayRequest,
+    freshness_guard: FreshnessGuard,
+    request: GatewayRequest,
 ) -> Result[GatewayAdmission, NotRun]:
     """Find the route and the team of a request.
 
@@ -116,37 +116,37 @@
     :param configuration: returns the configuration in force here.
     """
     arrived_ms = now_ms()
-    await proofs.async_refresh_configuration()
-    return _admit(configuration(), proofs, ask, arrived_ms)
+    await freshness_guard.async_refresh_configuration()
+    return _admit(configuration(), freshness_guard, request, arrived_ms)
 
 
 def _admit(
     configuration: GatewayConfiguration,
-    proofs: FreshnessGuard,
-    ask: GatewayRequest,
+    freshness_guard: FreshnessGuard,
+    request: GatewayRequest,
     arrived_ms: float,
 ) -> Result[GatewayAdmission, NotRun]:
     if not configuration.version:
         return Err(_unconfirmed('no_configuration', 'no configuration yet'))
-    route = configuration.find_route(ask.host, ask.http_request.path)
+    route = configuration.find_route(request.host, request.http_request.path)
     if route is None:
-        return Err(_deny_if_in_force(proofs, _no_route()))
+        return Err(_deny_if_current(freshness_guard, _no_route()))
     team = None
     if configuration.teams and not route.is_public:
-        if not proofs.may_accept_keys():
+        if not freshness_guard.may_accept_keys():
             return Err(_stale_configuration())
-        team = configuration.team_of_key(ask.bearer_key)
+        team = configuration.team_of_key(request.bearer_key)
         if team is None:
-            return Err(_deny_if_in_force(proofs, unauthorized()))
+            return Err(_deny_if_current(freshness_guard, unauthorized()))
     return Ok(
         GatewayAdmission(
-            request=ask,
+            request=request,
             route=route,
             service=route.pick_service(random.random()),
             team=team,
             arrived_ms=arrived_ms,
             deadline_ms=arrived_ms
-            + min(ask.client_timeout_ms, route.timeout_ms),
+            + min(request.client_timeout_ms, route.timeout_ms),
         ),
     )
 
@@ -155,26 +155,28 @@
     configuration: GatewayConfiguration,
     admission: GatewayAdmission,
     *,
-    has_keys: bool,
+    may_accept_keys: bool,
 ) -> Result[None, NotRun]:
     """Check the key again, just before a queued request is sent."""
     if admission.team is None:
         return Ok(None)
-    if not has_keys:
+    if not may_accept_keys:
         return Err(_stale_configuration())
     if configuration.team_of_key(admission.request.bearer_key) is None:
         return Err(unauthorized())
     return Ok(None)
 
 
-def _deny_if_in_force(proofs: FreshnessGuard, denial: NotRun) -> NotRun:
+def _deny_if_current(freshness_guard: FreshnessGuard, denial: NotRun) -> NotRun:
     """Return a denial only if the configuration is in force.
 
     A denial is final for its caller, so a stale configuration must not cause
     one.
     """
     return (
-        denial if proofs.is_configuration_current() else _stale_configuration()
+        denial
+        if freshness_guard.is_configuration_current()
+        else _stale_configuration()
     )
 
 
--- a/hornbeamdeck/request/gateway_handler.py
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -1,4 +1,4 @@
-"""Admits or refuses the routed requests of a caller's connection."""
+"""Admits or refuses the gateway requests of a caller's connection."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AbstractContextManager
@@ -49,7 +49,7 @@
 
 
 class GatewayContext(NamedTuple):
-    """Dependencies for answering routed requests.
+    """Dependencies for answering gateway requests.
 
     :param freshness_guard: freshness of the configuration and of the list of
         engines.
@@ -84,7 +84,7 @@
 
 
 def make_gateway_handler(
-    edge: GatewayContext, run: RunAdmitted
+    context: GatewayContext, run: RunAdmitted
 ) -> RequestHandler:
     """Make the function that answers one request.
 
@@ -95,39 +95,45 @@
         request: HttpRequest,
         caller: ServerConnection,
     ) -> None:
-        if edge.is_draining():
+        if context.is_draining():
             caller.close_after_response()
-        with edge.track_in_flight():
-            await _async_admit(edge, run, request, caller)
+        with context.track_in_flight():
+            await _async_admit(context, run, request, caller)
 
     return _async_answer
 
 
 async def _async_admit(
-    edge: GatewayContext,
+    context: GatewayContext,
     run: RunAdmitted,
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
-    decoded = edge.dialect.read_request(request)
+    decoded = context.dialect.read_request(request)
     if isinstance(decoded, Err):
         # Further bytes on this connection may belong to the bad request.
         caller.close_after_response()
-        await _async_refuse(edge, '', decoded.err_value, caller)
+        await _async_refuse(context, '', decoded.err_value, caller)
         return
-    ask = decoded.ok_value
-    admitted = await async_admit(edge.configuration, edge.freshness_guard, ask)
+    gateway_request = decoded.ok_value
+    admitted = await async_admit(
+        context.configuration, context.freshness_guard, gateway_request
+    )
     if isinstance(admitted, Err):
-        await _async_refuse(edge, ask.request_id, admitted.err_value, caller)
+        await _async_refuse(
+            context, gateway_request.request_id, admitted.err_value, caller
+        )
         return
-    if _would_be_cut_off(edge, admitted.ok_value):
-        await _async_refuse(edge, ask.request_id, _draining(), caller)
+    if _would_be_cut_off(context, admitted.ok_value):
+        await _async_refuse(
+            context, gateway_request.request_id, _draining(), caller
+        )
         return
     await run(admitted.ok_value, caller)
 
 
 def _would_be_cut_off(
-    edge: GatewayContext, admission: GatewayAdmission
+    context: GatewayContext, admission: GatewayAdmission
 ) -> bool:
     """Whether a graceful shutdown would cut off a request that starts now.
 
@@ -140,7 +146,7 @@
         if admission.route.is_stream
         else MAX_SHUTDOWN_SHARE_OTHER
     )
-    return edge.shutdown_progress() > share
+    return context.shutdown_progress() > share
 
 
 def _draining() -> NotRun:
@@ -153,31 +159,33 @@
 
 
 async def _async_refuse(
-    edge: GatewayContext,
+    context: GatewayContext,
     request_id: str,
     refusal: NotRun,
     caller: ServerConnection,
 ) -> None:
-    edge.metrics.count_refusal(refusal.code)
+    context.metrics.count_refusal(refusal.code)
     _LOGGER.info(
         'request refused at the edge',
         request_id=request_id,
         code=refusal.code,
         status=int(refusal.status),
-        configuration_version=edge.configuration().version,
-        newest_version=edge.freshness_guard.newest_confirmed_version,
-        proof_age_ms=_age_for_log(edge.freshness_guard.configuration_age_ms()),
+        configuration_version=context.configuration().version,
+        newest_version=context.freshness_guard.newest_confirmed_version,
+        proof_age_ms=_age_for_log(
+            context.freshness_guard.configuration_age_ms()
+        ),
     )
     await caller.async_respond(
-        edge.dialect.failure_response(refusal, request_id)
+        context.dialect.failure_response(refusal, request_id)
     )
 
 
-def refuse_unreadable(edge: GatewayContext, bad: BadRequest) -> HttpResponse:
+def refuse_unreadable(context: GatewayContext, bad: BadRequest) -> HttpResponse:
     """Make the response to a request that can't be parsed."""
     refusal = NotRun(HTTPStatus(bad.status), 'unreadable', bad.detail)
-    edge.metrics.count_refusal(refusal.code)
-    return edge.dialect.failure_response(refusal, '')
+    context.metrics.count_refusal(refusal.code)
+    return context.dialect.failure_response(refusal, '')
 
 
 def _age_for_log(age_ms: float) -> int | None:
--- a/hornbeamdeck/request/gateway_request.py
+++ b/hornbeamdeck/request/gateway_request.py
@@ -1,4 +1,4 @@
-"""Decoded routed requests, and the interface of a dialect that decodes them."""
+"""Decoded gateway requests, and the interface of the dialect decoding them."""
 
 import enum
 from collections.abc import Callable
@@ -72,9 +72,11 @@
 MakeEngineHeaders: TypeAlias = Callable[
     [GatewayRequest, EngineAttempt], Headers
 ]
-Judge: TypeAlias = Callable[[GatewayRequest, HttpResponse], ResponseVerdict]
+ClassifyResponse: TypeAlias = Callable[
+    [GatewayRequest, HttpResponse], ResponseVerdict
+]
 MakeCallerResponse: TypeAlias = Callable[[HttpResponse], HttpResponse]
-Refusal: TypeAlias = Callable[[Failure, str], HttpResponse]
+MakeFailureResponse: TypeAlias = Callable[[Failure, str], HttpResponse]
 
 
 class Dialect(NamedTuple):
@@ -89,6 +91,6 @@
 
     read_request: ReadRequest
     engine_headers: MakeEngineHeaders
-    classify_response: Judge
+    classify_response: ClassifyResponse
     caller_response: MakeCallerResponse
-    failure_response: Refusal
+    failure_response: MakeFailureResponse
--- a/hornbeamdeck/request/gateway_run.py
+++ b/hornbeamdeck/request/gateway_run.py
@@ -50,7 +50,7 @@
 
 
 async def async_run_gateway_request(
-    edge: GatewayContext,
+    context: GatewayContext,
     admission: GatewayAdmission,
     caller: ServerConnection,
 ) -> None:
@@ -59,7 +59,7 @@
     However it ends, the caller gets exactly one final response, or its
     connection is broken.
     """
-    run = GatewayRun(edge, admission, caller)
+    run = GatewayRun(context, admission, caller)
     failure: Failure | None = None
     try:
         failure = await async_with_timeout(admission.left_ms, run.async_run())
@@ -77,16 +77,16 @@
 
     def __init__(
         self,
-        edge: GatewayContext,
+        context: GatewayContext,
         admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
         """Initialize; no grant has been requested yet."""
-        self._edge = edge
+        self._context = context
         self._admission = admission
         self._caller = caller
         self._attempts = _Attempts()
-        self._engine_call = EngineAttempts(edge, admission, caller)
+        self._engine_attempts = EngineAttempts(context, admission, caller)
         self._engine = ''
         self._waited_ms = 0.0
 
@@ -101,7 +101,9 @@
             if isinstance(granted, Err):
                 return await self._async_handle_refusal(granted.err_value)
             upstream = granted.ok_value.upstream
-            if not await self._edge.freshness_guard.async_may_send_to(upstream):
+            if not await self._context.freshness_guard.async_may_send_to(
+                upstream
+            ):
                 await self._async_return_grant(upstream)
                 continue
             end = await self._async_attempt(granted.ok_value)
@@ -112,7 +114,7 @@
         """Make the failure of a request whose time limit has passed."""
         if (
             self._attempts.possible_runs
-            or self._engine_call.is_possibly_executing
+            or self._engine_attempts.is_possibly_executing
         ):
             return Unknown(
                 HTTPStatus.GATEWAY_TIMEOUT,
@@ -130,15 +132,15 @@
             self._caller.reset_on_close()
             return
         request_id = self._admission.request.request_id
-        response = self._edge.dialect.failure_response(failure, request_id)
+        response = self._context.dialect.failure_response(failure, request_id)
         await self._caller.async_respond(response)
 
     def log(self, event: str, *, code: str = 'answered') -> None:
         """Log one line on how a request ended and on which data."""
         admission = self._admission
-        edge = self._edge
+        context = self._context
         total_ms = now_ms() - admission.arrived_ms
-        edge.metrics.count_request(
+        context.metrics.count_request(
             admission.service, admission.rank, code, total_ms
         )
         _LOGGER.info(
@@ -156,40 +158,44 @@
             output_tokens=admission.request.output_tokens,
             expected_tokens=admission.request.expected_tokens,
             waited_ms=int(self._waited_ms),
-            first_ms=int(self._engine_call.first_ms),
-            begun_ms=int(self._engine_call.begun_ms),
-            longest_gap_ms=int(self._engine_call.longest_gap_ms),
+            first_ms=int(self._engine_attempts.first_ms),
+            begun_ms=int(self._engine_attempts.begun_ms),
+            longest_gap_ms=int(self._engine_attempts.longest_gap_ms),
             objective_ms=admission.route.objective_ms,
             gap_ms=admission.route.gap_ms,
             total_ms=int(total_ms),
             tries=self._attempts.engines_reached,
-            last_event=self._engine_call.last_event_id,
-            configuration_version=edge.configuration().version,
-            newest_version=edge.freshness_guard.newest_confirmed_version,
+            last_event=self._engine_attempts.last_event_id,
+            configuration_version=context.configuration().version,
+            newest_version=context.freshness_guard.newest_confirmed_version,
             proof_age_ms=_age_for_log(
-                edge.freshness_guard.configuration_age_ms()
+                context.freshness_guard.configuration_age_ms()
+            ),
+            engines_age_ms=_age_for_log(
+                context.freshness_guard.engines_age_ms()
             ),
-            engines_age_ms=_age_for_log(edge.freshness_guard.engines_age_ms()),
         )
 
     async def _async_grant(self) -> Result[Grant, NotRun]:
         admission = self._admission
         requested_ms = now_ms()
-        granted = await self._edge.acquire_grant(self._enqueue())
+        granted = await self._context.acquire_grant(self._enqueue())
         self._waited_ms += now_ms() - requested_ms
         if isinstance(granted, Err):
             return granted
         allowed = recheck_key(
-            self._edge.configuration(),
+            self._context.configuration(),
             admission,
-            has_keys=self._edge.freshness_guard.may_accept_keys(),
+            may_accept_keys=self._context.freshness_guard.may_accept_keys(),
         )
         if isinstance(allowed, Err):
             request_id = admission.request.request_id
-            await self._edge.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
+            await self._context.release_grant(
+                request_id, RunEnd.CANCELLED, 0, 0
+            )
             return allowed
         if not self._attempts.excluded and admission.team is not None:
-            self._edge.record_granted_tokens(
+            self._context.record_granted_tokens(
                 admission.team_name, admission.quota_tokens
             )
         return granted
@@ -203,10 +209,10 @@
             engine=engine,
             cause='the engine is draining or was removed',
             engines_age_ms=_age_for_log(
-                self._edge.freshness_guard.engines_age_ms()
+                self._context.freshness_guard.engines_age_ms()
             ),
         )
-        await self._edge.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
+        await self._context.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
         excluded = (*self._attempts.excluded, engine)
         self._attempts = self._attempts._replace(excluded=excluded)
 
@@ -215,10 +221,10 @@
         granted_ms = now_ms()
         end = RunEnd.CANCELLED
         try:
-            end = await self._engine_call.async_run(grant)
+            end = await self._engine_attempts.async_run(grant)
         finally:
-            await self._engine_call.async_close(end)
-            await self._edge.release_grant(
+            await self._engine_attempts.async_close(end)
+            await self._context.release_grant(
                 self._admission.request.request_id,
                 end,
                 now_ms() - granted_ms,
@@ -231,7 +237,7 @@
                 request_id=self._admission.request.request_id,
                 engine=grant.upstream,
                 end=end.name.lower(),
-                cause=self._engine_call.cause,
+                cause=self._engine_attempts.cause,
                 took_ms=int(now_ms() - granted_ms),
             )
         self._attempts = _Attempts(
@@ -250,7 +256,7 @@
         return (
             0
             if self._attempts.possible_runs
-            else self._engine_call.longest_gap_ms
+            else self._engine_attempts.longest_gap_ms
         )
 
     def _may_use_another_engine(self, end: RunEnd) -> bool:
@@ -269,7 +275,7 @@
     async def _async_handle_refusal(self, refusal: NotRun) -> Failure | None:
         if not self._attempts.possible_runs:
             return refusal
-        if self._engine_call.response is not None:
+        if self._engine_attempts.response is not None:
             return await self._async_finish(RunEnd.ERRORED)
         # An engine may have run the request, so it must not count as refused.
         return Unknown(
@@ -280,7 +286,7 @@
         )
 
     async def _async_finish(self, end: RunEnd) -> Failure | None:
-        response = self._engine_call.response
+        response = self._engine_attempts.response
         if end == RunEnd.ANSWERED or response is not None:
             self.log('request answered')
             if response is not None:
@@ -305,23 +311,23 @@
 
     def _enqueue(self) -> Enqueue:
         admission = self._admission
-        ask = admission.request
+        request = admission.request
         return Enqueue(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             cell=admission.service,
             team=admission.team_name,
             tier_rank=admission.rank,
             deadline_ms=admission.left_ms,
-            prompt_tokens=ask.prompt_tokens,
-            output_tokens=ask.expected_tokens or ask.output_tokens,
+            prompt_tokens=request.prompt_tokens,
+            output_tokens=request.expected_tokens or request.output_tokens,
             excluded=list(self._attempts.excluded),
-            fingerprint=self._engine_call.fingerprint[:FINGERPRINT_CHARS],
+            fingerprint=self._engine_attempts.fingerprint[:FINGERPRINT_CHARS],
             objective_ms=self._objective_left_ms(),
             patience_ms=self._client_timeout_left_ms(),
             gap_ms=admission.route.gap_ms,
             quota_tokens=admission.quota_tokens,
             dispatches=self._attempts.engines_reached,
-            zone=self._edge.zone,
+            zone=self._context.zone,
             route_rank=admission.route_rank,
         )
 
--- a/hornbeamdeck/request/idempotency.py
+++ b/hornbeamdeck/request/idempotency.py
@@ -45,19 +45,19 @@
     secret: str
 
 
-def issue_key_for_team(sources: IdempotencyContext, team: str) -> str:
+def issue_key_for_team(context: IdempotencyContext, team: str) -> str:
     """Issue a key whose call only this incarnation will run."""
-    own = sources.membership.own_status
+    own = context.membership.own_status
     return issue_key(
         instance_id=own.instance_id,
         incarnation=own.incarnation,
         team=team,
-        secret=sources.secret,
+        secret=context.secret,
     )
 
 
 async def async_acquire_execution_right(
-    sources: IdempotencyContext,
+    context: IdempotencyContext,
     admission: Admission,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
     """Get the right to run a call, or the outcome of an earlier request.
@@ -74,19 +74,19 @@
             ),
         )
     if not is_issued(key_text):
-        return await sources.claims.async_claim(
+        return await context.claims.async_claim(
             _make_claim_call(admission, key_text)
         )
     decoded = verify_issued_key(
-        key_text, team=admission.team.name, secret=sources.secret
+        key_text, team=admission.team.name, secret=context.secret
     )
     if isinstance(decoded, Err):
         return decoded
-    if _is_issued_here(sources, decoded.ok_value):
-        return sources.issued_calls.claim_call(
+    if _is_issued_here(context, decoded.ok_value):
+        return context.issued_calls.claim_call(
             decoded.ok_value, admission.fingerprint
         )
-    return await _async_forward_to_issuer(sources, admission, decoded.ok_value)
+    return await _async_forward_to_issuer(context, admission, decoded.ok_value)
 
 
 def _make_claim_call(admission: Admission, idempotency_key: str) -> ClaimCall:
@@ -102,8 +102,8 @@
     )
 
 
-def _is_issued_here(sources: IdempotencyContext, key: IssuedKey) -> bool:
-    own = sources.membership.own_status
+def _is_issued_here(context: IdempotencyContext, key: IssuedKey) -> bool:
+    own = context.membership.own_status
     return (key.instance_id, key.incarnation) == (
         own.instance_id,
         own.incarnation,
@@ -111,11 +111,11 @@
 
 
 async def _async_forward_to_issuer(
-    sources: IdempotencyContext,
+    context: IdempotencyContext,
     admission: Admission,
     key: IssuedKey,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
-    issuer = sources.membership.status_of(key.instance_id)
+    issuer = context.membership.status_of(key.instance_id)
     if issuer is None or issuer.incarnation != key.incarnation:
         return Err(issuer_gone())
     if HEADER_FORWARDED in admission.request.headers:
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -38,38 +38,38 @@
     ) -> None:
         if routing.is_draining():
             caller.close_after_response()
-        parts = routing.make_answer_context()
+        context = routing.make_answer_context()
         with routing.track_in_flight():
-            await _async_route(routing, parts, request, caller)
+            await _async_route(routing, context, request, caller)
 
     return _async_answer
 
 
 async def _async_route(
     routing: RouterContext,
-    parts: AnswerContext,
+    context: AnswerContext,
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
     request_id = make_request_id()
     if request.path in COMPLETION_PATHS:
-        admitted = _admit_completion_call(parts, request, request_id)
+        admitted = _admit_completion_call(context, request, request_id)
     elif request.path.startswith(PLAIN_PREFIX):
-        admitted = admit_plain(parts.configuration, request, request_id)
+        admitted = admit_plain(context.configuration, request, request_id)
     else:
-        response = answer_own_endpoint(routing, parts, request, request_id)
+        response = answer_own_endpoint(routing, context, request, request_id)
         await caller.async_respond(response)
         return
     if isinstance(admitted, Err):
-        parts.metrics.refused_input.labels(admitted.err_value.code).inc()
+        context.metrics.refused_input.labels(admitted.err_value.code).inc()
         response = to_response(admitted.err_value, request_id)
         await caller.async_respond(response)
         return
-    await async_answer_admitted_request(parts, admitted.ok_value, caller)
+    await async_answer_admitted_request(context, admitted.ok_value, caller)
 
 
 def _admit_completion_call(
-    parts: AnswerContext,
+    context: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> Result[Admission, NotRun]:
@@ -81,7 +81,7 @@
                 'completions are asked for by POST',
             ),
         )
-    return admit_model(parts.configuration, request, request_id)
+    return admit_model(context.configuration, request, request_id)
 
 
 def refuse_unreadable(bad: BadRequest) -> HttpResponse:
--- a/hornbeamdeck/scheduling/admission_control.py
+++ b/hornbeamdeck/scheduling/admission_control.py
@@ -164,7 +164,7 @@
         retries = request.dispatches or 0
         if retries > MAX_RETRIES or len(request.excluded) > MAX_RETRIES:
             return RefusalReason.TOO_MANY_TRIES
-        if retries and not self._retry_budget.try_take(now):
+        if retries and not self._retry_budget.try_spend(now):
             return RefusalReason.TOO_MANY_TRIES
         return None
 
--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -56,7 +56,7 @@
     """Decides which waiting request runs next and on which upstream."""
 
     def __init__(self) -> None:
-        """Start without upstreams; `adopt` adds them."""
+        """Start without upstreams; `apply_configuration` adds them."""
         self.loads: dict[str, UpstreamLoad] = {}
         self.crash_tracker = UpstreamCrashTracker()
         self._tiers: dict[int, TierQueue] = {}
@@ -98,7 +98,7 @@
     ) -> Refused | None:
         """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
-        ticket = QueuedRequest(
+        queued = QueuedRequest(
             request=request,
             sender=sender,
             deliver=deliver,
@@ -106,16 +106,16 @@
             service_ms=_best_service_ms(self.loads.values(), request, now),
         )
         if not self.loads:
-            return self._refuse(ticket, RefusalReason.NO_UPSTREAM)
+            return self._refuse(queued, RefusalReason.NO_UPSTREAM)
         if self.crash_tracker.is_confirmed_poison(request.fingerprint, now):
-            return self._refuse(ticket, RefusalReason.CULPRIT)
+            return self._refuse(queued, RefusalReason.CULPRIT)
         wait_ms = self._wait_ms(request.tier_rank)
-        if wait_ms + ticket.service_ms > request.deadline_ms:
-            return self._refuse(ticket, RefusalReason.DEADLINE)
+        if wait_ms + queued.service_ms > request.deadline_ms:
+            return self._refuse(queued, RefusalReason.DEADLINE)
         queue = self._tiers.setdefault(request.tier_rank, TierQueue())
-        queue.push(ticket)
+        queue.push(queued)
         entry = (
-            ticket.deadline_ms - ticket.service_ms,
+            queued.deadline_ms - queued.service_ms,
             request.request_id,
             request.tier_rank,
         )
@@ -127,9 +127,9 @@
         while self._wait_ms(max(self._tiers, default=0)) > MAX_WAIT_MS:
             lowest = max(rank for rank, queue in self._tiers.items() if queue)
             queue = self._tiers[lowest]
-            ticket = queue.newest_of_largest_team()
-            queue.remove(ticket.request.request_id)
-            yield self._refuse(ticket, RefusalReason.OVERLOADED)
+            queued = queue.newest_of_largest_team()
+            queue.remove(queued.request.request_id)
+            yield self._refuse(queued, RefusalReason.OVERLOADED)
 
     def refuse_expired(self, now: float) -> Iterator[Refused]:
         """Refuse requests that could no longer end in time if started now."""
@@ -137,8 +137,8 @@
             _, request_id, rank = heapq.heappop(self._latest_start)
             queue = self._tiers[rank]
             if request_id in queue:
-                ticket = queue.remove(request_id)
-                yield self._refuse(ticket, RefusalReason.DEADLINE)
+                queued = queue.remove(request_id)
+                yield self._refuse(queued, RefusalReason.DEADLINE)
 
     def place_waiting(self, now: float) -> Iterator[Granted]:
         """Place waiting requests, highest tier first, until none fits.
@@ -152,8 +152,8 @@
             queue = self._tiers[rank]
             skipped: list[QueuedRequest] = []
             is_full = yield from self._grants_of_tier(queue, skipped, now)
-            for ticket in skipped:
-                queue.push(ticket)
+            for queued in skipped:
+                queue.push(queued)
             if is_full:
                 return
 
@@ -206,8 +206,8 @@
         """Remove all requests and runs of a closed connection."""
         for queue in self._tiers.values():
             dropped = [each for each in queue if each.sender == sender]
-            for ticket in dropped:
-                queue.remove(ticket.request.request_id)
+            for queued in dropped:
+                queue.remove(queued.request.request_id)
         for load in self.loads.values():
             load.remove_sender(sender)
 
@@ -224,29 +224,29 @@
         now: float,
     ) -> Generator[Granted, None, bool]:
         while queue and len(skipped) < MAX_SKIPPED:
-            ticket = queue.next_ticket()
-            request = ticket.request
-            load = self._place(ticket, now)
+            queued = queue.next_request()
+            request = queued.request
+            load = self._place(queued, now)
             if load is None:
                 return True
-            if self._must_skip(ticket, load, now):
+            if self._must_skip(queued, load, now):
                 skipped.append(queue.remove(request.request_id))
                 continue
             weight = self._weights.get(request.team, 1)
             queue.serve(request.request_id, weight)
-            load.add(_to_register(ticket, load), ticket.sender)
-            yield Granted(ticket, load.upstream.name)
+            load.add(_to_register(queued, load), queued.sender)
+            yield Granted(queued, load.upstream.name)
         return False
 
     def _must_skip(
         self,
-        ticket: QueuedRequest,
+        queued: QueuedRequest,
         load: UpstreamLoad,
         now: float,
     ) -> bool:
-        request = ticket.request
+        request = queued.request
         needed_ms = load.confidence(now) * _service_ms(load, request)
-        if now + needed_ms > ticket.deadline_ms:
+        if now + needed_ms > queued.deadline_ms:
             # It would end too late there and its prefill would be wasted.
             return True
         running = (
@@ -256,8 +256,8 @@
         )
         return self.crash_tracker.must_wait(request.fingerprint, running, now)
 
-    def _place(self, ticket: QueuedRequest, now: float) -> UpstreamLoad | None:
-        request = ticket.request
+    def _place(self, queued: QueuedRequest, now: float) -> UpstreamLoad | None:
+        request = queued.request
         is_top_tier = request.tier_rank == self._top_rank
         excluded = request.excluded or ()
         candidates = (
@@ -288,15 +288,15 @@
         slots = sum(load.upstream.max_running for load in self.loads.values())
         return ahead_ms / max(slots, 1)
 
-    def _refuse(self, ticket: QueuedRequest, reason: RefusalReason) -> Refused:
-        wait_ms = self._wait_ms(ticket.request.tier_rank)
+    def _refuse(self, queued: QueuedRequest, reason: RefusalReason) -> Refused:
+        wait_ms = self._wait_ms(queued.request.tier_rank)
         retry_ms = min(max(int(wait_ms), MIN_RETRY_MS), MAX_RETRY_MS)
         refusal = Refuse(
-            request_id=ticket.request.request_id,
+            request_id=queued.request.request_id,
             reason=reason,
             retry_after_ms=retry_ms,
         )
-        return Refused(ticket, refusal)
+        return Refused(queued, refusal)
 
 
 def _best_service_ms(
@@ -321,13 +321,13 @@
     return load.service_ms(request.prompt_tokens, request.output_tokens)
 
 
-def _to_register(ticket: QueuedRequest, load: UpstreamLoad) -> Register:
+def _to_register(queued: QueuedRequest, load: UpstreamLoad) -> Register:
     return Register(
-        request_id=ticket.request.request_id,
-        cell=ticket.request.cell,
+        request_id=queued.request.request_id,
+        cell=queued.request.cell,
         upstream=load.upstream.name,
-        prompt_tokens=ticket.request.prompt_tokens,
-        output_tokens=ticket.request.output_tokens,
+        prompt_tokens=queued.request.prompt_tokens,
+        output_tokens=queued.request.output_tokens,
         is_prefilling=True,
-        fingerprint=ticket.request.fingerprint,
+        fingerprint=queued.request.fingerprint,
     )
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -57,7 +57,7 @@
     """Queues the requests of one service and places them on its engines."""
 
     def __init__(self, shared: SharedState, retry_budget: RetryBudget) -> None:
-        """Start without engines; `adopt` adds them."""
+        """Start without engines; `update_engines` adds them."""
         self.loads: dict[str, EngineLoad] = {}
         self.crash_tracker = EngineCrashTracker()
         self._wait_queue = WaitQueue()
@@ -76,7 +76,7 @@
     def update_engines(
         self,
         engines: Iterable[Engine],
-        traits: EngineProperties,
+        properties: EngineProperties,
         slowness: dict[str, float],
     ) -> None:
         """Apply a new list of engines.
@@ -94,10 +94,10 @@
         for name, engine in named.items():
             load = self.loads.get(name)
             if load is None or load.engine.born_ms != engine.born_ms:
-                load = EngineLoad(engine, traits, self._estimates)
+                load = EngineLoad(engine, properties, self._estimates)
                 load.slowness = slowness.get(name, 1.0)
                 self.loads[name] = load
-            load.update(engine, traits)
+            load.update(engine, properties)
 
     def enqueue(
         self,
@@ -109,7 +109,7 @@
     ) -> Refused | None:
         """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
-        ticket = QueuedRequest(
+        queued = QueuedRequest(
             request=request,
             sender=sender,
             deliver=deliver,
@@ -119,8 +119,8 @@
         fastest_ms = _fastest_ms(self.loads.values(), request, now)
         reason = self._reason_to_refuse(request, fastest_ms, now)
         if reason is not None:
-            return self._refuse(ticket, reason, now)
-        self._wait_queue.push(ticket, now, fastest_ms)
+            return self._refuse(queued, reason, now)
+        self._wait_queue.push(queued, now, fastest_ms)
         self._placements.record_arrival(request)
         return None
 
@@ -141,9 +141,9 @@
         ):
             return
         self._last_expiry_check_ms = now
-        for ticket in self._wait_queue.expired(now, self._forecast(now)):
-            self._admission.remove_waiting(ticket.request)
-            yield self._refuse(ticket, RefusalReason.DEADLINE, now)
+        for queued in self._wait_queue.expired(now, self._forecast(now)):
+            self._admission.remove_waiting(queued.request)
+            yield self._refuse(queued, RefusalReason.DEADLINE, now)
 
     def place_waiting(self, now: float) -> Iterator[Granted]:
         """Place waiting requests until no engine has a free slot for any.
@@ -160,20 +160,20 @@
         if not scan.free:
             return
         blocked: dict[str, int] = {}
-        for ticket in self._wait_queue.in_order(now):
+        for queued in self._wait_queue.in_order(now):
             if not scan.free:
                 return
-            granted = self._try_place(ticket, scan, blocked, now)
+            granted = self._try_place(queued, scan, blocked, now)
             if granted is not None:
                 scan.remove_if_full(self.loads[granted.upstream])
                 yield granted
 
     def withdraw(self, request_id: str) -> None:
         """Remove a waiting request whose caller has disconnected."""
-        ticket = self._wait_queue.remove(request_id)
+        queued = self._wait_queue.remove(request_id)
         self._hold_reasons.pop(request_id, None)
-        if ticket is not None:
-            self._admission.remove_waiting(ticket.request)
+        if queued is not None:
+            self._admission.remove_waiting(queued.request)
 
     def register(self, run: Register, sender: str) -> None:
         """Account for a run that another owner granted."""
@@ -204,7 +204,7 @@
         self._placements.record_engine_change(load.engine.name)
         if end == RunEnd.ANSWERED:
             load.learn_gap(run, message.longest_gap_ms or 0)
-        return _update_crash_watch(
+        return _update_crash_tracker(
             self.crash_tracker, load.engine, run.fingerprint, end, now
         )
 
@@ -245,13 +245,13 @@
 
     def _try_place(
         self,
-        ticket: QueuedRequest,
+        queued: QueuedRequest,
         scan: PlacementScan,
         blocked: dict[str, int],
         now: float,
     ) -> Granted | None:
         """Place a request that is due in this scan, within its team's limit."""
-        request = ticket.request
+        request = queued.request
         hold_reason = self._hold_reasons.get(request.request_id)
         candidates = scan.candidates_for(
             request,
@@ -262,27 +262,27 @@
         if not self._admission.may_start(request, blocked, now):
             self._hold_reasons[request.request_id] = HELD_BY_LIMIT
             return None
-        return self._place(ticket, candidates, now) if candidates else None
+        return self._place(queued, candidates, now) if candidates else None
 
     def _place(
         self,
-        ticket: QueuedRequest,
+        queued: QueuedRequest,
         free: list[EngineLoad],
         now: float,
     ) -> Granted | None:
         """Start a request on an engine with a free slot, or hold it."""
-        request_id = ticket.request.request_id
+        request_id = queued.request.request_id
         time_budget = self._wait_queue.time_budget(request_id, now)
-        choice = choose_engine(free, ticket, now, time_budget)
+        choice = choose_engine(free, queued, now, time_budget)
         load = choice.load
         if load is None:
             self._hold_reasons[request_id] = choice.hold_reason
             return None
         self._wait_queue.start(request_id, now)
-        self._admission.start(ticket.request, now)
-        _add_run(load, ticket, now)
+        self._admission.start(queued.request, now)
+        _add_run(load, queued, now)
         return Granted(
-            ticket,
+            queued,
             load.engine.name,
             str(load.engine.address),
             self._hold_reasons.pop(request_id, ''),
@@ -290,11 +290,11 @@
 
     def _refuse(
         self,
-        ticket: QueuedRequest,
+        queued: QueuedRequest,
         reason: RefusalReason,
         now: float,
     ) -> Refused:
-        request = ticket.request
+        request = queued.request
         retry_after_ms = self._admission.retry_after_ms(request, reason, now)
         hold_reason = self._hold_reasons.pop(request.request_id, '')
         refusal = Refuse(
@@ -302,12 +302,12 @@
             reason=reason,
             retry_after_ms=retry_after_ms,
         )
-        facts = self._facts(request, now)
+        log_fields = self._log_fields(request, now)
         if hold_reason:
-            facts['held_for'] = hold_reason
-        return Refused(ticket, refusal, facts)
+            log_fields['held_for'] = hold_reason
+        return Refused(queued, refusal, log_fields)
 
-    def _facts(self, request: Enqueue, now: float) -> dict[str, object]:
+    def _log_fields(self, request: Enqueue, now: float) -> dict[str, object]:
         """Return what a refusal was based on, as log fields."""
         return {
             'waiting': len(self._wait_queue),
@@ -320,8 +320,8 @@
         }
 
 
-def _add_run(load: EngineLoad, ticket: QueuedRequest, now: float) -> None:
-    request = ticket.request
+def _add_run(load: EngineLoad, queued: QueuedRequest, now: float) -> None:
+    request = queued.request
     run = Register(
         request_id=request.request_id,
         cell=request.cell,
@@ -334,7 +334,7 @@
     zone = request.zone or ''
     load.add(
         run,
-        ticket.sender,
+        queued.sender,
         zone,
         request.gap_ms or 0,
         stream_value=value_of(request),
@@ -368,8 +368,8 @@
     return None
 
 
-def _update_crash_watch(
-    suspicions: EngineCrashTracker,
+def _update_crash_tracker(
+    crash_tracker: EngineCrashTracker,
     engine: Engine,
     fingerprint: str,
     end: RunEnd,
@@ -377,15 +377,15 @@
 ) -> Suspect | None:
     suspect = ''
     if end == RunEnd.ANSWERED:
-        suspicions.record_answer(fingerprint)
+        crash_tracker.record_answer(fingerprint)
     if end == RunEnd.FAILED:
-        suspicions.record_failed_run(engine.name, fingerprint, now)
+        crash_tracker.record_failed_run(engine.name, fingerprint, now)
     if end == RunEnd.NOT_DISPATCHED:
-        suspect = suspicions.record_crash(engine.name, now)
+        suspect = crash_tracker.record_crash(engine.name, now)
     if not suspect:
         return None
     return Suspect(
         cell=engine.service,
         fingerprint=suspect,
-        crashes=suspicions.crash_count(suspect, now),
+        crashes=crash_tracker.crash_count(suspect, now),
     )
--- a/hornbeamdeck/scheduling/engine_choice.py
+++ b/hornbeamdeck/scheduling/engine_choice.py
@@ -55,7 +55,7 @@
 
 def choose_engine(
     free: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
     time_budget: TimeBudget,
 ) -> Choice:
@@ -69,20 +69,20 @@
     """
     if len(free) > SHORTLIST_SIZE:
         choice = _choose(
-            _shortlist(free, ticket, now), ticket, now, time_budget
+            _shortlist(free, queued, now), queued, now, time_budget
         )
         if choice.load is not None:
             return choice
-    return _choose(free, ticket, now, time_budget)
+    return _choose(free, queued, now, time_budget)
 
 
 def _shortlist(
     free: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
 ) -> list[EngineLoad]:
     """Return the engines with the lowest cost by a quick estimate."""
-    work_ms = base_first_token_ms(ticket.request.prompt_tokens)
+    work_ms = base_first_token_ms(queued.request.prompt_tokens)
     return nsmallest(
         SHORTLIST_SIZE,
         free,
@@ -94,25 +94,25 @@
 
 def _choose(
     free: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
     time_budget: TimeBudget,
 ) -> Choice:
-    eligible = [load for load in free if _is_eligible(load, ticket, now)]
+    eligible = [load for load in free if _is_eligible(load, queued, now)]
     if not eligible:
         return Choice(None, 'tried before or resting')
     if time_budget.remaining_ms < 0:
-        return Choice(_lowest_cost(eligible, ticket, now))
+        return Choice(_lowest_cost(eligible, queued, now))
     on_time = [
         load
         for load in eligible
-        if _first_token_ms(load, ticket, now) <= time_budget.remaining_ms
+        if _first_token_ms(load, queued, now) <= time_budget.remaining_ms
     ]
     best = _lowest_cost(
-        _without_interruption(on_time, ticket, now), ticket, now
+        _without_interruption(on_time, queued, now), queued, now
     )
     if best is None and time_budget.slack_ms <= START_MARGIN_MS:
-        best = _choose_without_slack(eligible, on_time, ticket, now)
+        best = _choose_without_slack(eligible, on_time, queued, now)
     if best is not None:
         return Choice(best)
     if on_time:
@@ -123,7 +123,7 @@
 def _choose_without_slack(
     eligible: list[EngineLoad],
     on_time: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
 ) -> EngineLoad | None:
     """Choose an engine for a request that can't wait any longer.
@@ -131,32 +131,32 @@
     Interrupt streams only if their value is at most that of the request.
     Otherwise accept that the request is late and interrupt none.
     """
-    request_value = value_of(ticket.request)
+    request_value = value_of(queued.request)
     acceptable = [
         load
         for load in on_time
-        if _interrupted_value(load, ticket, now) <= request_value
+        if _interrupted_value(load, queued, now) <= request_value
     ]
-    best = _lowest_cost(acceptable, ticket, now)
+    best = _lowest_cost(acceptable, queued, now)
     if best is not None:
         return best
     return _lowest_cost(
-        _without_interruption(eligible, ticket, now), ticket, now
+        _without_interruption(eligible, queued, now), queued, now
     )
 
 
-def _is_eligible(load: EngineLoad, ticket: QueuedRequest, now: float) -> bool:
-    request = ticket.request
+def _is_eligible(load: EngineLoad, queued: QueuedRequest, now: float) -> bool:
+    request = queued.request
     if load.engine.name in (request.excluded or ()):
         return False
     return not load.health.is_in_backoff(request.zone or '', now)
 
 
 def _first_token_ms(
-    load: EngineLoad, ticket: QueuedRequest, now: float
+    load: EngineLoad, queued: QueuedRequest, now: float
 ) -> float:
     return load.first_token_ms(
-        base_first_token_ms(ticket.request.prompt_tokens), now
+        base_first_token_ms(queued.request.prompt_tokens), now
     )
 
 
@@ -165,37 +165,37 @@
 
 
 def _interrupted_value(
-    load: EngineLoad, ticket: QueuedRequest, now: float
+    load: EngineLoad, queued: QueuedRequest, now: float
 ) -> float:
     """Return the value of the streams that a request would interrupt."""
-    gap_ms = load.gap_ms(ticket.request.prompt_tokens, now)
+    gap_ms = load.gap_ms(queued.request.prompt_tokens, now)
     return load.interrupted_value(gap_ms / GAP_SHARE)
 
 
 def _without_interruption(
     loads: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
 ) -> list[EngineLoad]:
     """Return the engines on which a request would interrupt no stream."""
-    return [load for load in loads if not _interrupted_value(load, ticket, now)]
+    return [load for load in loads if not _interrupted_value(load, queued, now)]
 
 
 def _lowest_cost(
     loads: list[EngineLoad],
-    ticket: QueuedRequest,
+    queued: QueuedRequest,
     now: float,
 ) -> EngineLoad | None:
     return min(
         loads,
-        key=lambda load: _cost_ms(load, ticket, now),
+        key=lambda load: _cost_ms(load, queued, now),
         default=None,
     )
 
 
-def _cost_ms(load: EngineLoad, ticket: QueuedRequest, now: float) -> float:
-    zone = ticket.request.zone or ''
-    cost_ms = _first_token_ms(load, ticket, now)
+def _cost_ms(load: EngineLoad, queued: QueuedRequest, now: float) -> float:
+    zone = queued.request.zone or ''
+    cost_ms = _first_token_ms(load, queued, now)
     cost_ms += _occupancy_cost_ms(load)
     cost_ms += FAILURE_COST_MS * load.health.failure_rate(zone, now)
     if load.engine.availability_zone != zone:
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -59,26 +59,26 @@
     def __init__(
         self,
         engine: Engine,
-        traits: EngineProperties,
+        properties: EngineProperties,
         estimates: ServiceEstimates,
     ) -> None:
         """Start idle, at the modelled speed.
 
         :param estimates: shared by all engines of the service.
         """
-        self.update(engine, traits)
+        self.update(engine, properties)
         self.estimates = estimates
         self.slowness = 1.0
         self.runs: dict[str, EngineRun] = {}
         self.health = EngineHealth()
         self._prefill_done_ms = 0.0
 
-    def update(self, engine: Engine, traits: EngineProperties) -> None:
+    def update(self, engine: Engine, properties: EngineProperties) -> None:
         """Apply the engine's current entry in the list of engines."""
         self.engine = engine
-        self.traits = traits
+        self.properties = properties
         # Number of requests that the engine processes concurrently.
-        self.slots = engine.slots or traits.slots or 1
+        self.slots = engine.slots or properties.slots or 1
 
     def has_free_slot(self) -> bool:
         """Return whether a request would start at once."""
@@ -108,7 +108,7 @@
         """
         prefill_work_ms = self.backlog_ms(now) / self.slowness
         prefill_work_ms += prefill_ms(prompt_tokens)
-        per_event = self.traits.tokens_per_event
+        per_event = self.properties.tokens_per_event
         return (
             self.estimates.gaps.gap_ms(prefill_work_ms, per_event)
             * self.slowness
@@ -174,7 +174,7 @@
             first_token_at_ms=now,
             expected_end_ms=now + self._output_ms(run),
         )
-        if run.expected_first_token_ms and self.traits.is_model:
+        if run.expected_first_token_ms and self.properties.is_model:
             weight = run.expected_first_token_ms / (
                 run.expected_first_token_ms + SAMPLE_WEIGHT_MS
             )
@@ -200,12 +200,12 @@
         if (
             run.overlapping_prefill_ms
             and longest_gap_ms
-            and self.traits.is_model
+            and self.properties.is_model
         ):
             self.estimates.gaps.learn(
                 longest_gap_ms / self.slowness,
                 run.overlapping_prefill_ms,
-                self.traits.tokens_per_event,
+                self.properties.tokens_per_event,
             )
 
     def remove_sender(self, sender: str) -> None:
@@ -222,13 +222,13 @@
     def _output_ms(self, run: EngineRun) -> float:
         """Estimate how long a run continues after its first token."""
         output = self.estimates.output
-        if not self.traits.is_model:
+        if not self.properties.is_model:
             return output.call_ms
         return run.output_tokens * output.token_ms * self.slowness
 
     def _learn_output(self, run: EngineRun, now: float) -> None:
         output = self.estimates.output
-        if not self.traits.is_model:
+        if not self.properties.is_model:
             output.learn_call(now - run.started_ms)
         elif run.first_token_at_ms:
             elapsed_ms = (now - run.first_token_at_ms) / self.slowness
--- a/hornbeamdeck/scheduling/retry_budget.py
+++ b/hornbeamdeck/scheduling/retry_budget.py
@@ -31,7 +31,7 @@
         self._remove_expired(self._requests, now)
         self._requests.append(now)
 
-    def try_take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Count a retry and return whether the budget allows it."""
         self._remove_expired(self._requests, now)
         self._remove_expired(self._retries, now)
--- a/hornbeamdeck/scheduling/tier_queue.py
+++ b/hornbeamdeck/scheduling/tier_queue.py
@@ -20,46 +20,46 @@
 
     def __init__(self, tag: float) -> None:
         self.tag = tag
-        self.tickets: dict[str, QueuedRequest] = {}
+        self.requests: dict[str, QueuedRequest] = {}
         self.cost_tokens = 0
         self._by_deadline: list[tuple[float, int, str]] = []
         self._by_arrival: list[str] = []
 
-    def push(self, ticket: QueuedRequest, sequence: int) -> None:
-        request_id = ticket.request.request_id
-        self.tickets[request_id] = ticket
-        self.cost_tokens += ticket.cost_tokens
-        entry = (ticket.deadline_ms, sequence, request_id)
+    def push(self, queued: QueuedRequest, sequence: int) -> None:
+        request_id = queued.request.request_id
+        self.requests[request_id] = queued
+        self.cost_tokens += queued.cost_tokens
+        entry = (queued.deadline_ms, sequence, request_id)
         heapq.heappush(self._by_deadline, entry)
         self._by_arrival.append(request_id)
 
     def earliest(self) -> QueuedRequest:
-        while self._by_deadline[0][2] not in self.tickets:
+        while self._by_deadline[0][2] not in self.requests:
             heapq.heappop(self._by_deadline)
-        return self.tickets[self._by_deadline[0][2]]
+        return self.requests[self._by_deadline[0][2]]
 
     def newest(self) -> QueuedRequest:
-        while self._by_arrival[-1] not in self.tickets:
+        while self._by_arrival[-1] not in self.requests:
             self._by_arrival.pop()
-        return self.tickets[self._by_arrival[-1]]
+        return self.requests[self._by_arrival[-1]]
 
     def remove(self, request_id: str) -> QueuedRequest:
-        ticket = self.tickets.pop(request_id)
-        self.cost_tokens -= ticket.cost_tokens
+        queued = self.requests.pop(request_id)
+        self.cost_tokens -= queued.cost_tokens
         self._compact()
-        return ticket
+        return queued
 
     def _compact(self) -> None:
         # Removed requests stay in both orders until they reach an end of them.
         # Without this cleanup, a team whose callers keep disconnecting would
         # hold memory for every one of them.
-        if len(self._by_arrival) <= 2 * len(self.tickets) + 8:
+        if len(self._by_arrival) <= 2 * len(self.requests) + 8:
             return
         self._by_arrival = [
-            each for each in self._by_arrival if each in self.tickets
+            each for each in self._by_arrival if each in self.requests
         ]
         self._by_deadline = [
-            each for each in self._by_deadline if each[2] in self.tickets
+            each for each in self._by_deadline if each[2] in self.requests
         ]
         heapq.heapify(self._by_deadline)
 
@@ -87,19 +87,19 @@
     def __iter__(self) -> Iterator[QueuedRequest]:
         """Iterate over all waiting requests in no particular order."""
         for team in self._teams.values():
-            yield from team.tickets.values()
+            yield from team.requests.values()
 
-    def push(self, ticket: QueuedRequest) -> None:
+    def push(self, queued: QueuedRequest) -> None:
         """Add a request."""
-        name = ticket.request.team
+        name = queued.request.team
         team = self._teams.get(name)
-        if team is None or not team.tickets and team.tag < self._tag:
+        if team is None or not team.requests and team.tag < self._tag:
             team = self._activate(name)
-        team.push(ticket, next(self._sequence))
-        self._team_of[ticket.request.request_id] = name
-        self.service_ms += ticket.service_ms
+        team.push(queued, next(self._sequence))
+        self._team_of[queued.request.request_id] = name
+        self.service_ms += queued.service_ms
 
-    def next_ticket(self) -> QueuedRequest:
+    def next_request(self) -> QueuedRequest:
         """Return the next request to serve without removing it."""
         return self._next_team().earliest()
 
@@ -108,7 +108,7 @@
         name = self._team_of[request_id]
         team = self._teams[name]
         self._tag = max(self._tag, team.tag)
-        cost = team.tickets[request_id].cost_tokens
+        cost = team.requests[request_id].cost_tokens
         team.tag += cost / weight
         heapq.heappush(self._order, (team.tag, name))
         return self.remove(request_id)
@@ -117,9 +117,9 @@
         """Remove a request that is not served."""
         name = self._team_of.pop(request_id)
         team = self._teams[name]
-        ticket = team.remove(request_id)
-        self.service_ms -= ticket.service_ms
-        return ticket
+        queued = team.remove(request_id)
+        self.service_ms -= queued.service_ms
+        return queued
 
     def newest_of_largest_team(self) -> QueuedRequest:
         """Return the request to refuse: the newest of the largest team.
@@ -140,7 +140,7 @@
             tag, name = self._order[0]
             team = self._teams.get(name)
             if team is not None and team.tag == tag:
-                if team.tickets:
+                if team.requests:
                     return team
                 # An idle team keeps its tag until the others have reached it.
                 # Otherwise it could gain turns by emptying its queue.
--- a/hornbeamdeck/scheduling/wait_queue.py
+++ b/hornbeamdeck/scheduling/wait_queue.py
@@ -50,27 +50,27 @@
     :param key_late: sort key after `start_ms`.
     """
 
-    ticket: QueuedRequest
+    queued: QueuedRequest
     start_ms: float
     objective_ms: float
     key_on_time: _OrderKey
     key_late: _OrderKey
 
     @classmethod
-    def from_ticket(
+    def from_queued(
         cls,
-        ticket: QueuedRequest,
+        queued: QueuedRequest,
         start_ms: float,
         objective_ms: float,
     ) -> Self:
         """Compute the sort keys: retries first, then by rank and start time."""
-        request = ticket.request
+        request = queued.request
         if request.excluded:
             key = (RETRY_RANK, start_ms)
-            return cls(ticket, start_ms, objective_ms, key, key)
+            return cls(queued, start_ms, objective_ms, key, key)
         on_time = (rank_of(request, is_late=False), start_ms)
         late = (rank_of(request, is_late=True), start_ms)
-        return cls(ticket, start_ms, objective_ms, on_time, late)
+        return cls(queued, start_ms, objective_ms, on_time, late)
 
     def order(self, now: float) -> _OrderKey:
         """Return the sort key; the lowest starts first."""
@@ -92,36 +92,36 @@
         return len(self._entries)
 
     def push(
-        self, ticket: QueuedRequest, now: float, fastest_ms: float
+        self, queued: QueuedRequest, now: float, fastest_ms: float
     ) -> None:
         """Add a request.
 
         :param fastest_ms: shortest expected time to its first token, once
             started.
         """
-        request = ticket.request
+        request = queued.request
         objective_ms = now + _objective_ms(request)
         start_ms = objective_ms - fastest_ms
         if not request.excluded:
             end_ms = max(objective_ms, now) + pick_by_route_rank(
                 MAX_LATE_WAITS_MS, request
             )
-            end_ms = min(ticket.deadline_ms, end_ms)
-            ticket = ticket._replace(deadline_ms=end_ms)
-        entry = _Entry.from_ticket(ticket, start_ms, objective_ms)
+            end_ms = min(queued.deadline_ms, end_ms)
+            queued = queued._replace(deadline_ms=end_ms)
+        entry = _Entry.from_queued(queued, start_ms, objective_ms)
         self._entries[request.request_id] = entry
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Remove a request and return its ticket, if it waits here."""
+        """Remove a request and return it, if it waits here."""
         entry = self._entries.pop(request_id, None)
-        return entry.ticket if entry else None
+        return entry.queued if entry else None
 
     def ids_from_sender(self, sender: str) -> list[str]:
         """Return the ids of the requests that were received on a connection."""
         return [
             request_id
             for request_id, entry in self._entries.items()
-            if entry.ticket.sender == sender
+            if entry.queued.sender == sender
         ]
 
     def in_order(self, now: float) -> Iterator[QueuedRequest]:
@@ -133,7 +133,7 @@
                 self._entries.values(),
                 key=lambda entry: (entry.start_ms < now, entry.start_ms),
             )
-        return (entry.ticket for entry in ordered)
+        return (entry.queued for entry in ordered)
 
     def time_budget(self, request_id: str, now: float) -> TimeBudget:
         """Return how much time a waiting request has left."""
@@ -145,11 +145,11 @@
         past_deadline = [
             entry
             for entry in self._entries.values()
-            if entry.ticket.deadline_ms < now
+            if entry.queued.deadline_ms < now
         ]
         forecast_expired = self._forecast_expired(now, forecast)
         return self._remove_all(
-            [entry.ticket for entry in past_deadline + forecast_expired]
+            [entry.queued for entry in past_deadline + forecast_expired]
         )
 
     def start(self, request_id: str, now: float) -> None:
@@ -206,18 +206,18 @@
         ahead = 0
         forecast_expired = []
         for entry in self._ordered(now):
-            if entry.ticket.deadline_ms < now or entry.ticket.request.excluded:
+            if entry.queued.deadline_ms < now or entry.queued.request.excluded:
                 continue
-            if now + forecast.start_in_ms(ahead) > entry.ticket.deadline_ms:
+            if now + forecast.start_in_ms(ahead) > entry.queued.deadline_ms:
                 forecast_expired.append(entry)
             else:
                 ahead += 1
         return forecast_expired
 
-    def _remove_all(self, tickets: list[QueuedRequest]) -> list[QueuedRequest]:
-        for ticket in tickets:
-            self._entries.pop(ticket.request.request_id)
-        return tickets
+    def _remove_all(self, requests: list[QueuedRequest]) -> list[QueuedRequest]:
+        for queued in requests:
+            self._entries.pop(queued.request.request_id)
+        return requests
 
 
 def _objective_ms(request: Enqueue) -> int:
--- a/hornbeamdeck/standin/batch.py
+++ b/hornbeamdeck/standin/batch.py
@@ -28,8 +28,8 @@
 
     :param speed: divisor of every duration; 1 is the reference engine.
     :param max_batch_size: maximum number of responses generated at the same
-        time, as limited by the engine's memory. Further admitted requests wait in
-        the engine in order of arrival.
+        time, as limited by the engine's memory. Further admitted requests
+        wait in the engine in order of arrival.
     """
 
     speed: float = 1
@@ -71,9 +71,9 @@
 class Batch:
     """The requests that an engine has admitted."""
 
-    def __init__(self, model: EngineTiming) -> None:
+    def __init__(self, timing: EngineTiming) -> None:
         """Create an empty batch."""
-        self.model = model
+        self.timing = timing
         self.counters = EngineCounters(
             {},
             dict.fromkeys(COUNTER_NAMES, 0),
@@ -115,24 +115,24 @@
             await self._async_step()
 
     async def _async_step(self) -> None:
-        active = self._sequences[: self.model.max_batch_size]
+        active = self._sequences[: self.timing.max_batch_size]
         decoding = [each for each in active if not each.prefill_tokens_left]
         prefilled = self._prefill(active)
-        model = self.model
-        step_ms = model.step_ms + model.step_per_sequence_ms * len(decoding)
-        step_ms += model.prefill_token_ms * prefilled
-        await sleep(step_ms / model.speed / MILLIS_PER_SECOND)
+        timing = self.timing
+        step_ms = timing.step_ms + timing.step_per_sequence_ms * len(decoding)
+        step_ms += timing.prefill_token_ms * prefilled
+        await sleep(step_ms / timing.speed / MILLIS_PER_SECOND)
         for sequence in decoding:
             await self._async_decode(sequence)
 
     def _prefill(self, active: list[Sequence]) -> int:
-        tokens_left = self.model.prefill_chunk_tokens
+        tokens_left = self.timing.prefill_chunk_tokens
         for sequence in active:
             tokens = min(tokens_left, sequence.prefill_tokens_left)
             sequence.prefill_tokens_left -= tokens
             sequence.prefilled_tokens += tokens
             tokens_left -= tokens
-        prefilled_tokens = self.model.prefill_chunk_tokens - tokens_left
+        prefilled_tokens = self.timing.prefill_chunk_tokens - tokens_left
         self.counters.counts['prefilled_tokens'] += prefilled_tokens
         return prefilled_tokens
 
--- a/hornbeamdeck/standin/commands.py
+++ b/hornbeamdeck/standin/commands.py
@@ -50,8 +50,8 @@
         case 'platform':
             _, listener = await async_setup_platform(address)
         case 'engine':
-            model = EngineTiming(speed=speed)
-            _, listener = await async_setup_engine(address, model)
+            timing = EngineTiming(speed=speed)
+            _, listener = await async_setup_engine(address, timing)
         case 'booking':
             _, listener = await async_setup_booking(address)
         case _:
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -76,10 +76,10 @@
 class EngineStandin:
     """An engine with its batch, its delayed load report and its faults."""
 
-    def __init__(self, model: EngineTiming) -> None:
+    def __init__(self, timing: EngineTiming) -> None:
         """Create an idle engine without faults."""
-        self.batch = Batch(model)
-        self.cache = PrefixCache(max_blocks=model.cache_blocks)
+        self.batch = Batch(timing)
+        self.cache = PrefixCache(max_blocks=timing.cache_blocks)
         self.streams = Streams(self.batch)
         self.crash_mark = ''
         self.break_mark = ''
@@ -137,9 +137,9 @@
         self,
         switches: dict[str, Any],
     ) -> HttpResponse:
-        model = self.batch.model
-        speed = switches.get('speed', model.speed)
-        self.batch.model = model._replace(speed=speed)
+        timing = self.batch.timing
+        speed = switches.get('speed', timing.speed)
+        self.batch.timing = timing._replace(speed=speed)
         self.crash_mark = switches.get('crash_mark', self.crash_mark)
         self.break_mark = switches.get('break_mark', self.break_mark)
         if 'down_ms' in switches and self.on_outage is not None:
@@ -245,7 +245,7 @@
 
 async def async_setup_engine(
     address: Address,
-    model: EngineTiming,
+    timing: EngineTiming,
 ) -> tuple[EngineStandin, Listener]:
     """Start an engine that listens on an address.
 
@@ -253,7 +253,7 @@
 
     :returns: the engine and its listener.
     """
-    engine = EngineStandin(model)
+    engine = EngineStandin(timing)
     listeners = [await async_setup_http_server(address, engine.async_handle)]
     bound_address = listeners[0].address
     batch_task = await spawn(engine.batch.async_run, daemon=True)
--- a/hornbeamdeck/version/gateway.py
+++ b/hornbeamdeck/version/gateway.py
@@ -1,4 +1,4 @@
-"""Configuration for routed requests: routes, services, teams, limits."""
+"""Configuration for gateway requests: routes, services, teams, limits."""
 
 import enum
 import hashlib
--- a/tests/connection/test_connection_pool.py
+++ b/tests/connection/test_connection_pool.py
@@ -17,7 +17,7 @@
     """Stands in for a client connection in the pool."""
 
     def __init__(self) -> None:
-        self.may_reuse = True
+        self.is_reusable = True
         self.is_open = True
         self.has_input = False
 
@@ -66,7 +66,7 @@
 def test_connection_that_cannot_be_reused_is_closed() -> None:
     pool = ConnectionPool(lambda: 1)
     not_reusable, no_keep_alive = _FakeConnection(), _FakeConnection()
-    not_reusable.may_reuse = False
+    not_reusable.is_reusable = False
     _release(pool, not_reusable)
     _release(pool, no_keep_alive, idle_ms=0)
     assert not len(pool)
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -32,7 +32,7 @@
             await sleep(0.15)
             assert engine.on_cut is not None
             await engine.on_cut()
-    assert [each.is_whole for each in calls.results] == [True] * CALLS
+    assert [each.is_complete for each in calls.results] == [True] * CALLS
     assert set(engine.batch.counters.runs.values()) == {1}
 
 
@@ -52,7 +52,7 @@
     await outage(50)
     record = await call.join()
     assert record.outcome == 'unknown'
-    assert not record.is_whole
+    assert not record.is_complete
 
 
 @on_fleet(PLAN)
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -35,8 +35,8 @@
     """New users judge the system by the demo. It must not print `every stated
     outcome was met` when an outcome was not met.
     """
-    refused = _record(status=503, outcome='not_run', is_whole=False)
-    truncated = _record(is_whole=False)
+    refused = _record(status=503, outcome='not_run', is_complete=False)
+    truncated = _record(is_complete=False)
     late = _record(total_ms=11_000)
     successful = [_record()] * 100
     cases = [
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -17,8 +17,8 @@
     """A platform with conditional writes and simulated faults.
 
     While `fault` is set, calls fail before (`down`) or after (`lost`) they take
-    effect. Faults in `next_faults` apply to the next calls, one for each, and take
-    precedence over `fault`.
+    effect. Faults in `next_faults` apply to the next calls, one for each, and
+    take precedence over `fault`.
     """
 
     def __init__(self) -> None:
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -88,13 +88,13 @@
         for number in range(count):
             await self.async_add_gateway(number)
         await self.async_until(
-            lambda: all(front.is_ready for front in self.gateways)
+            lambda: all(gateway.is_ready for gateway in self.gateways)
         )
         await self.async_until(
             lambda: all(
-                len(front.components.heartbeats.liveness.serving_instances())
+                len(gateway.components.heartbeats.liveness.serving_instances())
                 == count
-                for front in self.gateways
+                for gateway in self.gateways
             ),
         )
 
@@ -115,15 +115,15 @@
             number,
             seed_peers=list(seeds),
         )
-        front = Gateway(settings, PLATFORM_ADAPTER)
-        await front.async_start()
-        self.gateways.append(front)
-        return front
+        gateway = Gateway(settings, PLATFORM_ADAPTER)
+        await gateway.async_start()
+        self.gateways.append(gateway)
+        return gateway
 
     async def async_stop(self) -> None:
         """Kill all gateways."""
-        for front in self.gateways:
-            await front.async_kill()
+        for gateway in self.gateways:
+            await gateway.async_kill()
 
     async def async_until(self, condition: Callable[[], bool]) -> None:
         """Wait for a condition.
@@ -139,24 +139,24 @@
     async def async_call(
         self,
         path: str,
-        front: int = 0,
+        gateway: int = 0,
         *,
         tokens: str = '',
         **headers: str,
     ) -> HttpResponse:
         """Send a request to a gateway as a client does.
 
-        :param front: index of the gateway in `fronts`.
+        :param gateway: index of the gateway in `gateways`.
         """
         return await async_fetch(
-            self.gateways[front].components.membership.own_status.address,
+            self.gateways[gateway].components.membership.own_status.address,
             make_request(path, tokens=tokens, **headers),
         )
 
-    async def async_open(self, front: int = 0) -> ClientConnection:
+    async def async_open(self, gateway: int = 0) -> ClientConnection:
         """Open a client connection to a gateway."""
         opened = await ClientConnection.async_open(
-            self.gateways[front].components.membership.own_status.address,
+            self.gateways[gateway].components.membership.own_status.address,
             timeout_ms=2000,
         )
         return opened.unwrap()
--- a/tests/platform/test_end_to_end.py
+++ b/tests/platform/test_end_to_end.py
@@ -41,8 +41,8 @@
     fleet: PlatformFleet,
 ) -> None:
     request = HttpRequest('GET', '/v1/resolve', 'name=walks.example', {}, b'')
-    for front in fleet.gateways:
-        got = await async_fetch(front.listeners[1].address, request)
+    for gateway in fleet.gateways:
+        got = await async_fetch(gateway.listeners[1].address, request)
         assert len(json.loads(got.body)['addresses']) == 3
 
 
--- a/tests/platform/test_engine_faults.py
+++ b/tests/platform/test_engine_faults.py
@@ -233,11 +233,11 @@
     prompts off engines.
     """
     gaps_ms = []
-    learn_pause = EngineLoad.learn_gap
+    learn_gap = EngineLoad.learn_gap
 
     def _record_gap(load: EngineLoad, run: EngineRun, gap_ms: float) -> None:
         gaps_ms.append(gap_ms)
-        learn_pause(load, run, gap_ms)
+        learn_gap(load, run, gap_ms)
 
     with patch.object(EngineLoad, 'learn_gap', _record_gap):
         for engine in fleet.model_engines:
--- a/tests/platform/test_fleet_faults.py
+++ b/tests/platform/test_fleet_faults.py
@@ -9,8 +9,8 @@
 def _owner(fleet: PlatformFleet) -> int:
     return next(
         number
-        for number, front in enumerate(fleet.gateways)
-        if front.components.is_owner
+        for number, gateway in enumerate(fleet.gateways)
+        if gateway.components.is_owner
     )
 
 
@@ -90,8 +90,8 @@
     )
     await fleet.async_until(
         lambda: all(
-            front.components.follower.configuration.version == version
-            for front in fleet.gateways
+            gateway.components.follower.configuration.version == version
+            for gateway in fleet.gateways
         ),
     )
     owner = _owner(fleet)
@@ -104,15 +104,15 @@
         await fleet.async_call('/note/x', caller, tokens=large)
     ).status == 429
     successors = [
-        front for front in fleet.gateways if not front.components.is_owner
+        gateway for gateway in fleet.gateways if not gateway.components.is_owner
     ]
     await fleet.async_until(
         lambda: all(
-            front.components.heartbeats._parts.spending_reports.tokens_spent(
+            gateway.components.heartbeats._dependencies.spending_reports.tokens_spent(
                 'guides'
             )
             >= 69_000
-            for front in successors
+            for gateway in successors
         ),
     )
     await fleet.gateways[owner].async_kill()
--- a/tests/platform/test_stale_instance.py
+++ b/tests/platform/test_stale_instance.py
@@ -21,15 +21,15 @@
 
 async def _async_wait_until_stale(fleet: PlatformFleet) -> None:
     """Wait until the instance's data is older than STALE_AFTER_MS."""
-    parts = fleet.gateways[0].components
+    components = fleet.gateways[0].components
     await fleet.async_until(
         lambda: (
-            parts.freshness.age_ms(
-                parts.follower.configuration.version,
+            components.freshness.age_ms(
+                components.follower.configuration.version,
                 now_ms(),
             )
             > STALE_AFTER_MS
-            and parts.directory.age_ms(now_ms()) > STALE_AFTER_MS
+            and components.directory.age_ms(now_ms()) > STALE_AFTER_MS
         ),
     )
 
--- a/tests/platform/test_store_faults.py
+++ b/tests/platform/test_store_faults.py
@@ -25,16 +25,16 @@
     instance must refuse requests that need a key, with a retry-after time, and
     must still serve the public route.
     """
-    front = fleet.gateways[0]
+    gateway = fleet.gateways[0]
     fleet.store.is_silent = True
-    bounds = front.settings.bounds._replace(
+    bounds = gateway.settings.bounds._replace(
         revocation_ms=REVOCATION_MARGIN_MS + 200,
     )
-    front.settings = front.settings._replace(bounds=bounds)
+    gateway.settings = gateway.settings._replace(bounds=bounds)
     await fleet.async_until(
         lambda: (
-            front.components.freshness.age_ms(
-                front.components.follower.configuration.version,
+            gateway.components.freshness.age_ms(
+                gateway.components.follower.configuration.version,
                 now_ms(),
             )
             > 300
@@ -58,8 +58,8 @@
     silent_store = StoreStandin()
     silent_store.is_silent = True
     seeds = [
-        str(front.components.membership.own_status.peer_address)
-        for front in fleet.gateways
+        str(gateway.components.membership.own_status.peer_address)
+        for gateway in fleet.gateways
     ]
     isolated = await fleet.async_add_gateway(
         9,
@@ -139,7 +139,9 @@
     before = fleet.store.calls
     await sleep(3)
     assert fleet.store.calls - before < 3 * 2 * 5
-    readers = [front for front in fleet.gateways if front.components.is_owner]
+    readers = [
+        gateway for gateway in fleet.gateways if gateway.components.is_owner
+    ]
     assert len(readers) == 1
 
 
@@ -176,7 +178,7 @@
     for all instances. The other instances must read the configuration instead
     and send it to the owner.
     """
-    ids = [front.settings.instance_id for front in fleet.gateways]
+    ids = [gateway.settings.instance_id for gateway in fleet.gateways]
     owner_number = next(
         number
         for number in range(10, 99)
@@ -186,8 +188,8 @@
     silent_store = StoreStandin()
     silent_store.is_silent = True
     seeds = [
-        str(front.components.membership.own_status.peer_address)
-        for front in fleet.gateways
+        str(gateway.components.membership.own_status.peer_address)
+        for gateway in fleet.gateways
     ]
     owner = await fleet.async_add_gateway(
         owner_number,
@@ -199,7 +201,7 @@
             owner.is_ready
             and owner.components.is_owner
             and not any(
-                front.components.is_owner for front in fleet.gateways[:2]
+                gateway.components.is_owner for gateway in fleet.gateways[:2]
             )
         ),
     )
@@ -208,8 +210,8 @@
     )
     await fleet.async_until(
         lambda: all(
-            front.components.follower.configuration.version == version
-            for front in fleet.gateways
+            gateway.components.follower.configuration.version == version
+            for gateway in fleet.gateways
         ),
     )
     assert (await fleet.async_call('/seats/x', -1)).status == 401
--- a/tests/process/test_engine_directory.py
+++ b/tests/process/test_engine_directory.py
@@ -6,24 +6,24 @@
 from hornbeamdeck.process.engine_directory import Engine, EngineDirectory
 
 
-def _engine(*, is_leaving: bool) -> Engine:
+def _engine(*, is_draining: bool) -> Engine:
     address = Address('127.0.0.1', 1)
-    return Engine('engine-1', 'desk', address, 'z1', 4, is_leaving, 1)
+    return Engine('engine-1', 'desk', address, 'z1', 4, is_draining, 1)
 
 
 def test_confirmation_of_a_newer_list_does_not_confirm_an_older_one() -> None:
     """Guards against a stale list that counts as current and is not reread."""
     directory = EngineDirectory()
-    directory.update(100, [_engine(is_leaving=False)])
+    directory.update(100, [_engine(is_draining=False)])
     directory.confirm(105, 5000)
     assert directory.confirmed_ms == -math.inf
 
 
 def test_confirmation_of_an_older_list_confirms_a_newer_one() -> None:
-    """Guards against unnecessary reads after a list was adopted."""
+    """Guards against unnecessary reads after a list was applied."""
     directory = EngineDirectory()
     directory.confirm(95, 5000)
-    directory.update(100, [_engine(is_leaving=True)])
+    directory.update(100, [_engine(is_draining=True)])
     assert directory.confirmed_ms == 5000
 
 
@@ -32,12 +32,12 @@
     directory = EngineDirectory()
     version = directory.version_for_revision(100)
     assert version is not None
-    directory.update(version, [_engine(is_leaving=True)])
+    directory.update(version, [_engine(is_draining=True)])
     assert directory.version_for_revision(99) is None
     again = directory.version_for_revision(100)
     assert again is not None
     assert again > version
-    directory.update(again, [_engine(is_leaving=True)])
+    directory.update(again, [_engine(is_draining=True)])
     later = EngineDirectory().version_for_revision(101)
     assert later is not None
     assert later > again
@@ -47,11 +47,11 @@
     """Guards against grants that are used after their engine was removed."""
     directory = EngineDirectory()
     assert not directory.is_draining_or_removed('engine-1')
-    directory.update(1, [_engine(is_leaving=False)])
+    directory.update(1, [_engine(is_draining=False)])
     assert not directory.is_draining_or_removed('engine-1')
-    directory.update(2, [_engine(is_leaving=True)])
+    directory.update(2, [_engine(is_draining=True)])
     assert directory.is_draining_or_removed('engine-1')
     directory.update(3, [])
     assert directory.is_draining_or_removed('engine-1')
-    directory.update(4, [_engine(is_leaving=False)])
+    directory.update(4, [_engine(is_draining=False)])
     assert not directory.is_draining_or_removed('engine-1')
--- a/tests/process/test_heartbeats.py
+++ b/tests/process/test_heartbeats.py
@@ -71,7 +71,7 @@
         self.outbox = _RecordingPeers()
         self.freshness = Freshness()
         self.activate()
-        self.beats = heartbeats.Heartbeats(
+        self.heartbeats = heartbeats.Heartbeats(
             heartbeats.HeartbeatDependencies(
                 membership=Membership(_status(name)),
                 peers=cast(Peers, self.outbox),
@@ -113,7 +113,7 @@
 
 async def _async_exchange(sender: _Node, receiver: _Node, delay: Any) -> None:
     sender.activate()
-    request = sender.beats._make_heartbeat(receiver.name)
+    request = sender.heartbeats._make_heartbeat(receiver.name)
     sender.clock.true_ms += next(delay)
     receiver.activate()
     responses: list[Beat] = []
@@ -121,12 +121,12 @@
     async def _async_deliver(message: Message) -> None:
         responses.append(cast(Beat, message))
 
-    await receiver.beats.async_handle_request(
+    await receiver.heartbeats.async_handle_request(
         sender.name, request, _async_deliver
     )
     receiver.clock.true_ms += next(delay)
     sender.activate()
-    await sender.beats.async_handle_response(receiver.name, responses[0])
+    await sender.heartbeats.async_handle_response(receiver.name, responses[0])
 
 
 def _exchange_all(
@@ -169,16 +169,16 @@
 def _send_first_heartbeat(sender: _Node, receiver: _Node) -> None:
     """Deliver a heartbeat before its receiver has sent any."""
     sender.activate()
-    beat = sender.beats._make_heartbeat(receiver.name)
+    heartbeat = sender.heartbeats._make_heartbeat(receiver.name)
     receiver.activate()
 
     async def _async_deliver(_message: Message) -> None:
         """Discard the response."""
 
     curio.run(
-        receiver.beats.async_handle_request,
+        receiver.heartbeats.async_handle_request,
         sender.name,
-        beat,
+        heartbeat,
         _async_deliver,
     )
 
@@ -218,11 +218,11 @@
     between instances.
     """
     node = _Node(clock, 'one', 0)
-    assert node.beats._make_heartbeat('peer').status
-    assert not node.beats._make_heartbeat('peer').status
-    assert node.beats._make_heartbeat('another').status
-    node.beats.forget_sent('peer')
-    assert node.beats._make_heartbeat('peer').status
+    assert node.heartbeats._make_heartbeat('peer').status
+    assert not node.heartbeats._make_heartbeat('peer').status
+    assert node.heartbeats._make_heartbeat('another').status
+    node.heartbeats.forget_sent('peer')
+    assert node.heartbeats._make_heartbeat('peer').status
 
 
 def test_changed_or_old_status_is_sent_again(
@@ -233,52 +233,56 @@
     stopped.
     """
     node = _Node(clock, 'one', 0)
-    node.beats._make_heartbeat('peer')
-    membership = node.beats._parts.membership
+    node.heartbeats._make_heartbeat('peer')
+    membership = node.heartbeats._dependencies.membership
     membership.own_status = membership.own_status._replace(state=STATE_DRAINING)
-    assert STATE_DRAINING in node.beats._make_heartbeat('peer').status
+    assert STATE_DRAINING in node.heartbeats._make_heartbeat('peer').status
     clock.true_ms += sent_updates.STATUS_RESEND_MS
-    assert node.beats._make_heartbeat('peer').status
+    assert node.heartbeats._make_heartbeat('peer').status
 
 
-class _RecordingLinks(_RecordingPeers):
-    """Records messages; has a link to a peer after the first message to it."""
+class _ConnectedPeers(_RecordingPeers):
+    """Records messages; has a connection to a peer after the first message to it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.contacted: list[str] = []
 
-    def has_link(self, peer_id: str) -> bool:
+    def has_connection(self, peer_id: str) -> bool:
         return peer_id in self.contacted
 
     async def async_send(self, peer_id: str, message: Message) -> None:
         await super().async_send(peer_id, message)
         self.contacted.append(peer_id)
 
-    async def async_drop(self, _peer_id: str) -> None:
+    async def async_disconnect(self, _peer_id: str) -> None:
         """Keep the record of contacted peers."""
 
 
-def _large_fleet(clock: _SimulatedTime) -> list[tuple[_Node, _RecordingLinks]]:
+def _large_fleet(
+    clock: _SimulatedTime,
+) -> list[tuple[_Node, _ConnectedPeers]]:
     names = [f'front-{number}' for number in range(FLEET)]
     fleet = []
     for name in names:
         node = _Node(clock, name, 0)
-        links = _RecordingLinks()
-        parts = node.beats._parts
-        node.beats._parts = parts._replace(peers=cast(Peers, links))
+        connections = _ConnectedPeers()
+        dependencies = node.heartbeats._dependencies
+        node.heartbeats._dependencies = dependencies._replace(
+            peers=cast(Peers, connections)
+        )
         for other in set(names) - {name}:
             change = StoredObject(
                 f'instances/{other}', 0, _status(other).to_text()
             )
-            parts.membership.apply_status(change)
-        fleet.append((node, links))
+            dependencies.membership.apply_status(change)
+        fleet.append((node, connections))
     return fleet
 
 
-def _most_contacted(fleet: list[tuple[_Node, _RecordingLinks]]) -> int:
+def _most_contacted(fleet: list[tuple[_Node, _ConnectedPeers]]) -> int:
     contacted = Counter(
-        peer for _, links in fleet for peer in set(links.contacted)
+        peer for _, connections in fleet for peer in set(connections.contacted)
     )
     return max(contacted.values(), default=0)
 
@@ -290,7 +294,7 @@
     random.seed(1)
     fleet = _large_fleet(clock)
     for node, _ in fleet:
-        curio.run(node.beats.async_send_heartbeats)
+        curio.run(node.heartbeats.async_send_heartbeats)
     assert 0 < _most_contacted(fleet) <= FLEET * 2 / 3
 
 
@@ -303,22 +307,23 @@
     random.seed(1)
     fleet = _large_fleet(clock)
     for node, _ in fleet:
-        membership = node.beats._parts.membership
+        membership = node.heartbeats._dependencies.membership
         for first in membership.ranked_ids('fleet')[
             : liveness.HEARTBEAT_RECEIVERS + 1
         ]:
             membership.suspect(first)
-        node.beats._targets()
+        node.heartbeats._targets()
     clock.true_ms += heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
     probed = Counter(
         target
         for node, _ in fleet
-        for target in node.beats._targets()
-        if target in node.beats._parts.membership.suspected
+        for target in node.heartbeats._targets()
+        if target in node.heartbeats._dependencies.membership.suspected
     )
     assert sum(probed.values()) == 0
     assert (
-        node.beats._pace.interval_ms > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
+        node.heartbeats._pace.interval_ms
+        > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
     )
 
 
@@ -357,7 +362,7 @@
     """
     node, _ = _large_fleet(clock)[0]
     for number in range(1, FLEET):
-        node.beats.liveness.record_heartbeat(
+        node.heartbeats.liveness.record_heartbeat(
             f'front-{number}', 1, is_usable=True
         )
     calls = []
@@ -368,8 +373,8 @@
         return known(membership)
 
     monkeypatch.setattr(Membership, 'known_peers', _known)
-    node.beats.liveness.live_ids()
-    node.beats.liveness.live_share()
+    node.heartbeats.liveness.live_ids()
+    node.heartbeats.liveness.live_share()
     assert len(calls) < 10
 
 
@@ -389,7 +394,7 @@
 
     monkeypatch.setattr(json, 'loads', _loads)
     for text in texts * liveness.HEARTBEAT_RECEIVERS:
-        node.beats._apply_status(text)
+        node.heartbeats._apply_status(text)
     assert len(parsed) <= len(texts)
 
 
@@ -408,7 +413,7 @@
 
     monkeypatch.setattr(membership_module, 'ranking', _ranking)
     for _ in range(40):
-        node.beats.liveness.rank()
-        node.beats._targets()
-        assert node.beats._pace.interval_ms
+        node.heartbeats.liveness.rank()
+        node.heartbeats._targets()
+        assert node.heartbeats._pace.interval_ms
     assert len(sort_calls) <= 1
--- a/tests/process/test_outages.py
+++ b/tests/process/test_outages.py
@@ -136,15 +136,15 @@
     """A delayed list response contains the previous document. If it were
     applied, it would restore what an operator has just removed.
     """
-    parts = fleet.instances[0].components
-    old = parts.follower.configuration
+    components = fleet.instances[0].components
+    old = components.follower.configuration
     document = json.loads(old.document)
     document['teams'] = document['teams'][:2]
     await fleet.async_put_configuration(json.dumps(document))
     await _async_until_version(fleet.instances[0], old.version + 1)
-    got = await parts.platform.async_get('configuration', role='test')
+    got = await components.platform.async_get('configuration', role='test')
     stored = got.unwrap()
     assert stored is not None
     stale = stored._replace(version=old.version, body=old.document)
-    await parts.follower.async_note(stale)
-    assert len(parts.follower.configuration.teams_by_key) == 2
+    await components.follower.async_note(stale)
+    assert len(components.follower.configuration.teams_by_key) == 2
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -100,7 +100,7 @@
         )
         load = successor.components.scheduler.cells['desk'].loads['engine-0']
         assert len(load.runs) == PLAN.max_running
-    assert all(record.is_whole for record in group.results)
+    assert all(record.is_complete for record in group.results)
 
 
 @on_fleet(PLAN)
@@ -124,7 +124,7 @@
             await sleep(0.005)
         ingress.components.membership.suspect(owner.own.instance_id)
         await ingress.components.grants.async_move_to_current_owners()
-    assert all(record.is_whole for record in group.results)
+    assert all(record.is_complete for record in group.results)
     for _ in range(200):
         if not load.runs:
             break
--- a/tests/process/test_store_engine_list.py
+++ b/tests/process/test_store_engine_list.py
@@ -42,7 +42,7 @@
 
 def test_draining_engine_is_not_retained() -> None:
     registry = StoreEngineList()
-    draining = engine('e1', is_leaving=True)
+    draining = engine('e1', is_draining=True)
     registry.apply_list(
         [EngineChange('e1', draining)], {}, confirmation_age_ms=0, now=0
     )
--- a/tests/process/test_store_reader.py
+++ b/tests/process/test_store_reader.py
@@ -27,7 +27,9 @@
     """Do nothing."""
 
 
-def _reader(*, rank: int, is_owner: bool, is_owner_lost: bool) -> StoreReader:
+def _reader(
+    *, rank: int, is_owner: bool, has_owner_lost_store: bool
+) -> StoreReader:
     return StoreReader(
         StoreReaderDependencies(
             access=cast(StoreInterface, None),
@@ -35,7 +37,7 @@
             directory=EngineDirectory(),
             rank=lambda: rank,
             is_owner=lambda: is_owner,
-            has_owner_lost_store=lambda: is_owner_lost,
+            has_owner_lost_store=lambda: has_owner_lost_store,
             version=lambda: 1,
             on_document=_async_ignore,
             on_engines_changed=lambda: None,
@@ -48,8 +50,10 @@
 
 
 def test_owner_always_reads_and_others_read_when_their_data_is_old() -> None:
-    assert _is_due(_reader(rank=0, is_owner=True, is_owner_lost=False), 0)
-    other = _reader(rank=1, is_owner=False, is_owner_lost=False)
+    assert _is_due(
+        _reader(rank=0, is_owner=True, has_owner_lost_store=False), 0
+    )
+    other = _reader(rank=1, is_owner=False, has_owner_lost_store=False)
     assert not _is_due(other, 1000)
     assert _is_due(other, 1600)
 
@@ -59,7 +63,7 @@
     store at the same time and overload it right after an outage.
     """
     readers = [
-        _reader(rank=rank, is_owner=False, is_owner_lost=False)
+        _reader(rank=rank, is_owner=False, has_owner_lost_store=False)
         for rank in range(1, 8)
     ]
     due = [
@@ -73,7 +77,7 @@
     that waited until its data reaches the normal maximum age would accept the
     key for longer than allowed.
     """
-    successor = _reader(rank=1, is_owner=False, is_owner_lost=True)
+    successor = _reader(rank=1, is_owner=False, has_owner_lost_store=True)
     assert _is_due(successor, 500)
 
 
@@ -98,9 +102,11 @@
     async def _async_sleep(_seconds: float) -> None:
         raise _SleepReached
 
-    reader = _reader(rank=3, is_owner=False, is_owner_lost=False)
+    reader = _reader(rank=3, is_owner=False, has_owner_lost_store=False)
     access = SimpleNamespace(read_configuration=_async_read)
-    reader._parts = reader._parts._replace(access=cast(StoreInterface, access))
+    reader._dependencies = reader._dependencies._replace(
+        access=cast(StoreInterface, access)
+    )
     monkeypatch.setattr(SLEEP, _async_sleep)
     with pytest.raises(_SleepReached):
         curio.run(reader.async_follow_configuration)
@@ -112,7 +118,7 @@
     fleet. Each rejected call incurs a cost, and all instances together make
     hundreds of calls.
     """
-    owner = _reader(rank=0, is_owner=True, is_owner_lost=False)
-    last = _reader(rank=14, is_owner=False, is_owner_lost=False)
+    owner = _reader(rank=0, is_owner=True, has_owner_lost_store=False)
+    last = _reader(rank=14, is_owner=False, has_owner_lost_store=False)
     assert owner._retry_ms() * 3 < last._retry_ms()
     assert last._retry_ms() < 2000
--- a/tests/request/test_event_parser.py
+++ b/tests/request/test_event_parser.py
@@ -14,31 +14,31 @@
 def test_any_split_into_pieces_yields_the_same_events(
     splits: list[int],
 ) -> None:
-    feed = EventParser()
+    parser = EventParser()
     events = []
     start = 0
     ends = [*sorted(splits), len(STREAM)]
     for end in ends:
-        events += feed.add_piece(STREAM[start:end])
+        events += parser.add_piece(STREAM[start:end])
         start = end
     assert b''.join(event.encoded for event in events) == STREAM
     assert [event.event_id for event in events] == ['1', '2', '3', '4', '5']
-    assert not feed.has_partial_event
+    assert not parser.has_partial_event
 
 
 def test_partial_event_is_withheld() -> None:
     """Guards against relaying a partial event of an engine that fails. It would
     be joined to the first event of the engine that continues the stream.
     """
-    feed = EventParser()
-    assert len(feed.add_piece(STREAM[:-3])) == 4
-    assert feed.has_partial_event
+    parser = EventParser()
+    assert len(parser.add_piece(STREAM[:-3])) == 4
+    assert parser.has_partial_event
 
 
 def test_all_line_endings_terminate_events() -> None:
     for end in (b'\n', b'\r\n', b'\r'):
-        feed = EventParser()
-        events = feed.add_piece(b'id: 4' + end + b'data: x' + end + end)
+        parser = EventParser()
+        events = parser.add_piece(b'id: 4' + end + b'data: x' + end + end)
         assert len(events) == 1
 
 
--- a/tests/scheduling/engine_cell_factories.py
+++ b/tests/scheduling/engine_cell_factories.py
@@ -53,7 +53,7 @@
 def make_quotas(
     *,
     spent: int = 0,
-    is_remembered: bool = True,
+    covers_window: bool = True,
     share: float = 1.0,
     is_first_start: bool = True,
     slack: float = 0,
@@ -62,7 +62,7 @@
     return TokenQuotas(
         QuotaView(
             spent=lambda _team: spent,
-            covers_window=lambda: is_remembered,
+            covers_window=lambda: covers_window,
             share=lambda: share,
         ),
         QuotaRules(window_ms=8000, slack=slack),
@@ -70,13 +70,15 @@
     )
 
 
-def make_cell(*engines: Engine, traits: EngineProperties = MODEL) -> EngineCell:
+def make_cell(
+    *engines: Engine, properties: EngineProperties = MODEL
+) -> EngineCell:
     """Create a cell with engines and without team limits."""
     made = EngineCell(
         SharedState(quotas=make_quotas(), teams={}),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
-    made.update_engines(engines, traits, {})
+    made.update_engines(engines, properties, {})
     return made
 
 
--- a/tests/scheduling/test_engine_cell.py
+++ b/tests/scheduling/test_engine_cell.py
@@ -315,7 +315,7 @@
     Judged by its outcomes, it is avoided for a while, but not for ever.
     """
     desk = make_cell(
-        engine('good', slots=9), engine('grey', slots=9), traits=PLAIN
+        engine('good', slots=9), engine('grey', slots=9), properties=PLAIN
     )
     for number in range(10):
         enqueue(desk, make_request(f'r{number}', excluded=['good']))
@@ -342,14 +342,18 @@
     desk = make_cell(engine('e1'))
     enqueue(desk, make_request('r1'))
     granted(desk)
-    desk.update_engines([engine('e1', born_ms=2)], desk.loads['e1'].traits, {})
+    desk.update_engines(
+        [engine('e1', born_ms=2)], desk.loads['e1'].properties, {}
+    )
     assert not desk.loads['e1'].runs
 
 
 def test_a_draining_engine_gets_no_requests() -> None:
     desk = make_cell(engine('e1'), engine('e2'))
-    draining = engine('e1', is_leaving=True)
-    desk.update_engines([draining, engine('e2')], desk.loads['e1'].traits, {})
+    draining = engine('e1', is_draining=True)
+    desk.update_engines(
+        [draining, engine('e2')], desk.loads['e1'].properties, {}
+    )
     for number in range(4):
         enqueue(desk, make_request(f'r{number}'))
     assert {name for _, name in granted(desk)} == {'e2'}
@@ -461,7 +465,7 @@
 
 def _limited_desk() -> EngineCell:
     """Create a cell whose owner has no record of earlier spending."""
-    limits = make_quotas(is_remembered=False, is_first_start=False)
+    limits = make_quotas(covers_window=False, is_first_start=False)
     made = EngineCell(
         SharedState(
             quotas=limits,
--- a/tests/scheduling/test_engine_cell_states.py
+++ b/tests/scheduling/test_engine_cell_states.py
@@ -121,7 +121,7 @@
                 engine(
                     name,
                     slots=SLOTS,
-                    is_leaving=name == draining,
+                    is_draining=name == draining,
                     born_ms=born_ms,
                 )
                 for name in names
--- a/tests/scheduling/test_engine_crash_tracker.py
+++ b/tests/scheduling/test_engine_crash_tracker.py
@@ -8,14 +8,14 @@
 
 
 def test_only_runs_that_failed_with_the_engine_are_suspected() -> None:
-    watch = EngineCrashTracker()
-    watch.record_failed_run('e1', 'long-ago', 0)
-    watch.record_failed_run('e1', 'beside', 9000)
-    watch.record_failed_run('e2', 'elsewhere', 9000)
-    assert watch.record_crash('e1', 9000 + SAME_CRASH_MS / 2) == 'beside'
-    assert watch.crash_count('beside', 10_000) == 1
-    assert not watch.crash_count('long-ago', 10_000)
-    assert not watch.crash_count('elsewhere', 10_000)
+    tracker = EngineCrashTracker()
+    tracker.record_failed_run('e1', 'long-ago', 0)
+    tracker.record_failed_run('e1', 'beside', 9000)
+    tracker.record_failed_run('e2', 'elsewhere', 9000)
+    assert tracker.record_crash('e1', 9000 + SAME_CRASH_MS / 2) == 'beside'
+    assert tracker.crash_count('beside', 10_000) == 1
+    assert not tracker.crash_count('long-ago', 10_000)
+    assert not tracker.crash_count('elsewhere', 10_000)
 
 
 def test_one_crash_is_counted_once() -> None:
@@ -23,11 +23,11 @@
     requests that ran on the engine would be refused as if they had crashed ten
     engines.
     """
-    watch = EngineCrashTracker()
-    watch.record_failed_run('e1', 'beside', 0)
+    tracker = EngineCrashTracker()
+    tracker.record_failed_run('e1', 'beside', 0)
     for moment in range(10):
-        watch.record_crash('e1', moment)
-    assert watch.crash_count('beside', 100) == 1
+        tracker.record_crash('e1', moment)
+    assert tracker.crash_count('beside', 100) == 1
 
 
 def test_crashes_counted_by_another_owner_are_kept() -> None:
@@ -35,18 +35,18 @@
     request that caused them would crash three more engines under each next
     owner.
     """
-    watch = EngineCrashTracker()
-    watch.merge_crash_count('bad', 2, 0)
-    watch.merge_crash_count('bad', 1, 10)
-    assert watch.crash_count('bad', 20) == 2
-    watch.record_failed_run('e1', 'bad', 20)
-    watch.record_crash('e1', 30)
-    assert watch.crash_count('bad', 40) == POISON_CRASHES
-    assert watch.is_confirmed_poison('bad', 40)
+    tracker = EngineCrashTracker()
+    tracker.merge_crash_count('bad', 2, 0)
+    tracker.merge_crash_count('bad', 1, 10)
+    assert tracker.crash_count('bad', 20) == 2
+    tracker.record_failed_run('e1', 'bad', 20)
+    tracker.record_crash('e1', 30)
+    assert tracker.crash_count('bad', 40) == POISON_CRASHES
+    assert tracker.is_confirmed_poison('bad', 40)
 
 
 def test_an_answered_request_is_cleared() -> None:
-    watch = EngineCrashTracker()
-    watch.merge_crash_count('good', 2, 0)
-    watch.record_answer('good')
-    assert not watch.crash_count('good', 10)
+    tracker = EngineCrashTracker()
+    tracker.merge_crash_count('good', 2, 0)
+    tracker.record_answer('good')
+    assert not tracker.crash_count('good', 10)
--- a/tests/scheduling/test_load_replay.py
+++ b/tests/scheduling/test_load_replay.py
@@ -95,9 +95,9 @@
     checked: list[str] = []
     is_eligible = engine_choice._is_eligible
 
-    def _count(load: EngineLoad, ticket: QueuedRequest, now: float) -> bool:
+    def _count(load: EngineLoad, queued: QueuedRequest, now: float) -> bool:
         checked.append(load.engine.name)
-        return is_eligible(load, ticket, now)
+        return is_eligible(load, queued, now)
 
     monkeypatch.setattr(engine_choice, '_is_eligible', _count)
     outcomes = Replay(plan, SEED).run()
--- a/tests/scheduling/test_retry_budget.py
+++ b/tests/scheduling/test_retry_budget.py
@@ -24,7 +24,7 @@
         if not is_retry:
             budget.record_request(now)
             requests.append(now)
-        elif budget.try_take(now):
+        elif budget.try_spend(now):
             retries.append(now)
     for end in retries:
         in_window = [each for each in retries if end - 2000 < each <= end]
@@ -36,5 +36,5 @@
 
 def test_the_budget_refills() -> None:
     budget = RetryBudget(ratio=0, slack=4, window_ms=1000)
-    assert [budget.try_take(0) for _ in range(3)] == [True, True, False]
-    assert budget.try_take(1500)
+    assert [budget.try_spend(0) for _ in range(3)] == [True, True, False]
+    assert budget.try_spend(1500)
--- a/tests/scheduling/test_tier_queue.py
+++ b/tests/scheduling/test_tier_queue.py
@@ -16,10 +16,10 @@
     """Discard a message."""
 
 
-def ticket(
+def queued(
     name: str, team: str, tokens: int, deadline_ms: float
 ) -> QueuedRequest:
-    """Create a ticket."""
+    """Create a queued request."""
     request = Enqueue(
         request_id=name,
         cell='desk',
@@ -53,7 +53,7 @@
     waiting: dict[str, QueuedRequest] = {}
     for number, step in enumerate(steps):
         if step[0] == 'push':
-            pushed = ticket(f'r{number}', *step[1:])
+            pushed = queued(f'r{number}', *step[1:])
             queue.push(pushed)
             waiting[f'r{number}'] = pushed
         elif waiting:
@@ -69,7 +69,7 @@
     if action == 'displace':
         newest = queue.newest_of_largest_team()
         return queue.remove(newest.request.request_id)
-    following = queue.next_ticket().request.request_id
+    following = queue.next_request().request.request_id
     if action == 'serve':
         return queue.serve(following, 1)
     return queue.remove(following)
@@ -79,7 +79,7 @@
 def test_earliest_deadline_first_within_a_team(deadlines: list[int]) -> None:
     queue = TierQueue()
     for number, deadline_ms in enumerate(deadlines):
-        queue.push(ticket(f'r{number}', 'guides', 10, deadline_ms))
+        queue.push(queued(f'r{number}', 'guides', 10, deadline_ms))
     served = [_remove_one(queue, 'serve').deadline_ms for _ in deadlines]
     assert served == sorted(deadlines)
 
@@ -91,9 +91,9 @@
     """
     queue = TierQueue()
     for number, tokens in enumerate(sizes):
-        queue.push(ticket(f'a{number}', 'guides', tokens, number))
+        queue.push(queued(f'a{number}', 'guides', tokens, number))
         for copy in range(5):
-            queue.push(ticket(f'b{number}-{copy}', 'sales', tokens, number))
+            queue.push(queued(f'b{number}-{copy}', 'sales', tokens, number))
     served: Counter[str] = Counter()
     while served['guides'] + served['sales'] < sum(sizes):
         removed = _remove_one(queue, 'serve')
@@ -107,10 +107,10 @@
     """
     queue = TierQueue()
     for number in range(100):
-        queue.push(ticket(f'a{number}', 'guides', 10, number))
+        queue.push(queued(f'a{number}', 'guides', 10, number))
     for _ in range(50):
         _remove_one(queue, 'serve')
     for late in range(100):
-        queue.push(ticket(f'b{late}', 'sales', 10, late))
+        queue.push(queued(f'b{late}', 'sales', 10, late))
     turns = [_remove_one(queue, 'serve').request.team for _ in range(20)]
     assert 8 <= turns.count('guides') <= 12
--- a/tests/scheduling/test_token_quota.py
+++ b/tests/scheduling/test_token_quota.py
@@ -82,7 +82,7 @@
         100 * before.spend(make_team(), 100, number * 10)
         for number in range(500)
     )
-    after = make_quotas(is_remembered=False, is_first_start=False)
+    after = make_quotas(covers_window=False, is_first_start=False)
     spent += sum(
         100 * after.spend(make_team(), 100, 6000 + number * 10)
         for number in range(200)
--- a/tests/scheduling/test_upstream_crash_tracker.py
+++ b/tests/scheduling/test_upstream_crash_tracker.py
@@ -34,27 +34,25 @@
     poison request when upstreams fail, only a request that was the sole suspect
     at a second crash is refused.
     """
-    suspicions = UpstreamCrashTracker()
+    tracker = UpstreamCrashTracker()
     now = 0.0
     for upstream, others in crashes:
         now += 10_000
         concurrent = [POISON, *(f'r{each}' for each in sorted(others))]
         alone = {
-            each for each in concurrent if suspicions.crash_count(each, now)
+            each for each in concurrent if tracker.crash_count(each, now)
         } <= {POISON}
         for fingerprint in concurrent:
-            suspicions.record_failure(
-                f'u{upstream}', fingerprint, concurrent, now
-            )
+            tracker.record_failure(f'u{upstream}', fingerprint, concurrent, now)
         if alone:
             confirmed = [
                 each
                 for each in concurrent
-                if suspicions.is_confirmed_poison(each, now) and each != POISON
+                if tracker.is_confirmed_poison(each, now) and each != POISON
             ]
             assert not confirmed
         for other in others:
-            suspicions.clear(f'r{other}')
+            tracker.clear(f'r{other}')
 
 
 def test_suspected_requests_run_one_at_a_time() -> None:
--- a/tests/scheduling/test_wait_queue.py
+++ b/tests/scheduling/test_wait_queue.py
@@ -13,18 +13,18 @@
 
 
 def _push(queue: WaitQueue, request: Enqueue, now: float = 0) -> None:
-    ticket = QueuedRequest(
+    queued = QueuedRequest(
         request=request,
         sender='s',
         deliver=async_discard,
         deadline_ms=now + (request.patience_ms or 0),
         service_ms=0,
     )
-    queue.push(ticket, now, 20)
+    queue.push(queued, now, 20)
 
 
 def _order(queue: WaitQueue, now: float = 0) -> list[str]:
-    return [ticket.request.request_id for ticket in queue.in_order(now)]
+    return [queued.request.request_id for queued in queue.in_order(now)]
 
 
 def _start_one(queue: WaitQueue) -> None:
@@ -109,8 +109,8 @@
     for number in range(60):
         _push(queue, make_request(f'urgent-{number}'), 10)
     refused = [
-        ticket.request.request_id
-        for ticket in queue.expired(20, _forecast(queue))
+        queued.request.request_id
+        for queued in queue.expired(20, _forecast(queue))
     ]
     assert refused == ['chat']
 
@@ -126,8 +126,8 @@
     for number in range(300):
         _push(queue, make_request(f'urgent-{number}'))
     assert 'broken' not in {
-        ticket.request.request_id
-        for ticket in queue.expired(10, _forecast(queue))
+        queued.request.request_id
+        for queued in queue.expired(10, _forecast(queue))
     }
 
 
--- a/tests/test_metrics_documentation.py
+++ b/tests/test_metrics_documentation.py
@@ -29,8 +29,8 @@
         for line in page.splitlines()
         if line.startswith('| `')
     }
-    front = make_registry(GatewayMetrics())
-    assert listed == _metric_names(Metrics().registry) | _metric_names(front)
+    gateway = make_registry(GatewayMetrics())
+    assert listed == _metric_names(Metrics().registry) | _metric_names(gateway)
 
 
 @on_fleet(FleetPlan(instances=2, speeds=(1.0,)))
