--- a/bench/ablated_instance.py
+++ b/bench/ablated_instance.py
@@ -113,8 +113,8 @@
     """End every stream without an error, even an incomplete one."""
 
     async def _async_read_chunk(self: Any) -> Any:
-        piece = await original_read_chunk(self)
-        return Ok(b'') if isinstance(piece, Err) else piece
+        chunk = await original_read_chunk(self)
+        return Ok(b'') if isinstance(chunk, Err) else chunk
 
     original_read_chunk = ClientConnection.async_read_chunk
     _patch(ClientConnection, 'async_read_chunk', _async_read_chunk)
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -127,7 +127,7 @@
                 return Err(ConnectionBroken('closed before the response head'))
 
     async def async_read_chunk(self) -> Result[bytes, ConnectionBroken]:
-        """Read the next piece of the body.
+        """Read the next chunk of the body.
 
         :returns: the bytes, empty at the end of a complete body.
         """
@@ -158,12 +158,12 @@
         """Read the rest of the body."""
         body = bytearray()
         while True:
-            piece = await self.async_read_chunk()
-            if isinstance(piece, Err):
-                return piece
-            if not piece.ok_value:
+            chunk = await self.async_read_chunk()
+            if isinstance(chunk, Err):
+                return chunk
+            if not chunk.ok_value:
                 return Ok(bytes(body))
-            body += piece.ok_value
+            body += chunk.ok_value
             if len(body) > MAX_BODY_BYTES:
                 return Err(ConnectionBroken('the response body is too large'))
 
--- a/hornbeamdeck/connection/engine_stream.py
+++ b/hornbeamdeck/connection/engine_stream.py
@@ -50,19 +50,19 @@
         self._received_bytes = 0
 
     async def async_read_chunk(self) -> Result[bytes, ConnectionBroken]:
-        """Read the next piece.
+        """Read the next chunk.
 
         :returns: the bytes, empty at the end of a complete stream.
         """
-        piece = await self._connection.async_read_chunk()
-        if isinstance(piece, Err) and self._stream_id:
+        chunk = await self._connection.async_read_chunk()
+        if isinstance(chunk, Err) and self._stream_id:
             resumed = await self._async_resume()
             if isinstance(resumed, Err):
                 return resumed
-            piece = await self._connection.async_read_chunk()
-        if isinstance(piece, Ok):
-            self._received_bytes += len(piece.ok_value)
-        return piece
+            chunk = await self._connection.async_read_chunk()
+        if isinstance(chunk, Ok):
+            self._received_bytes += len(chunk.ok_value)
+        return chunk
 
     async def async_cancel(self) -> None:
         """Cancel a resumable run on the engine, in the background.
--- a/hornbeamdeck/connection/server.py
+++ b/hornbeamdeck/connection/server.py
@@ -101,15 +101,15 @@
         status: int,
         headers: Headers,
     ) -> Result[None, ConnectionBroken]:
-        """Write the head of a response whose body is sent in pieces."""
+        """Write the head of a response whose body is sent in chunks."""
         return await self._async_write(self._encode_head(status, headers))
 
     async def async_send_chunk(
-        self, piece: bytes
+        self, chunk: bytes
     ) -> Result[None, ConnectionBroken]:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         return await self._async_write(
-            self._protocol.send(h11.Data(data=piece)) or b'',
+            self._protocol.send(h11.Data(data=chunk)) or b'',
         )
 
     async def async_end_response(self) -> Result[None, ConnectionBroken]:
--- a/hornbeamdeck/demo/client.py
+++ b/hornbeamdeck/demo/client.py
@@ -120,17 +120,17 @@
     body = b''
     first_byte_ms = 0.0
     while True:
-        piece = await connection.async_read_chunk()
-        if isinstance(piece, Err):
+        chunk = await connection.async_read_chunk()
+        if isinstance(chunk, Err):
             return _Response(
                 head.status, head.headers, body, first_byte_ms, False
             )
-        if not piece.ok_value:
+        if not chunk.ok_value:
             return _Response(
                 head.status, head.headers, body, first_byte_ms, True
             )
         first_byte_ms = first_byte_ms or now_ms()
-        body += piece.ok_value
+        body += chunk.ok_value
 
 
 def _failed_response(code: str) -> _Response:
@@ -204,10 +204,10 @@
         parsed = json.loads(response.body)
         return bool(parsed['choices'][0]['message']['content'] == expected)
     events = response.body.decode(ENCODING).split('\n\n')
-    pieces = [
+    chunks = [
         json.loads(event.removeprefix('data: '))
         for event in events
         if event and not event.endswith('[DONE]')
     ]
-    text = ''.join(piece['choices'][0]['delta']['content'] for piece in pieces)
+    text = ''.join(chunk['choices'][0]['delta']['content'] for chunk in chunks)
     return text == expected
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -23,7 +23,7 @@
 from hornbeamdeck.request.admitted_request import AnswerContext
 from hornbeamdeck.request.router import (
     RouterContext,
-    make_answer,
+    make_request_handler,
     refuse_unreadable,
 )
 
@@ -144,7 +144,7 @@
             is_draining=lambda: self.is_draining,
             track_in_flight=self._count_in_flight,
         )
-        respond = make_answer(router_context)
+        respond = make_request_handler(router_context)
 
         async def _async_serve(sock: socket.socket) -> None:
             await async_serve_requests(sock, respond, refuse_unreadable)
--- a/hornbeamdeck/request/engine_attempts.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -174,15 +174,15 @@
         connection = self._engine_connection.connection
         end: RunEnd | None = None
         while connection is not None and end is None:
-            piece = await self._async_read_with_timeout(
+            chunk = await self._async_read_with_timeout(
                 connection.async_read_chunk()
             )
-            if isinstance(piece, Err):
-                self.cause = piece.err_value.cause
+            if isinstance(chunk, Err):
+                self.cause = chunk.err_value.cause
                 return RunEnd.FAILED
-            if not piece.ok_value:
+            if not chunk.ok_value:
                 return await self._async_end_stream(parser)
-            events = parser.add_piece(piece.ok_value)
+            events = parser.add_chunk(chunk.ok_value)
             end = await self._async_relay_events(head, events, sent_ms)
         return end or RunEnd.CANCELLED
 
--- a/hornbeamdeck/request/event_parser.py
+++ b/hornbeamdeck/request/event_parser.py
@@ -21,7 +21,7 @@
 
 
 class EventParser:
-    """Assembles complete events from pieces of a response body.
+    """Assembles complete events from chunks of a response body.
 
     An engine that fails may leave a partial event. If that were relayed, the
     first event of the engine that continues the stream would be joined to it.
@@ -36,9 +36,9 @@
         """Whether the stream so far ends within an event."""
         return bool(self._pending.strip())
 
-    def add_piece(self, piece: bytes) -> list[Event]:
-        """Add a piece and return the events that are complete now."""
-        pending = self._pending + piece
+    def add_chunk(self, chunk: bytes) -> list[Event]:
+        """Add a chunk and return the events that are complete now."""
+        pending = self._pending + chunk
         events = []
         start = 0
         for end in _EVENT_END.finditer(pending):
--- a/hornbeamdeck/request/gateway_handler.py
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -86,7 +86,7 @@
 def make_gateway_handler(
     context: GatewayContext, run: RunAdmitted
 ) -> RequestHandler:
-    """Make the function that answers one request.
+    """Make the handler that answers one request.
 
     :param run: runs a request that was admitted.
     """
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -127,15 +127,15 @@
         )
         tail = b''
         while not isinstance(sent_to_caller, Err):
-            piece = await stream.async_read_chunk()
-            if isinstance(piece, Err):
+            chunk = await stream.async_read_chunk()
+            if isinstance(chunk, Err):
                 return Err(_upstream_broken())
-            if not piece.ok_value:
+            if not chunk.ok_value:
                 return await self._async_end_stream(response, caller, tail)
             if not tail:
                 await self._async_report_first_token(policy)
-            tail = (tail + piece.ok_value)[-TAIL_BYTES:]
-            sent_to_caller = await caller.async_send_chunk(piece.ok_value)
+            tail = (tail + chunk.ok_value)[-TAIL_BYTES:]
+            sent_to_caller = await caller.async_send_chunk(chunk.ok_value)
         self.end = RunEnd.CANCELLED
         return Err(_upstream_broken())
 
@@ -172,7 +172,7 @@
 ) -> Result[HttpResponse, Unknown]:
     """Relay within a time limit, and always release the upstream's slot.
 
-    :param caller: gets a stream piece by piece. If `None`, every response is
+    :param caller: gets a stream chunk by chunk. If `None`, every response is
         read completely, also a stream.
     :param limit_ms: when the run is cancelled, milliseconds from now.
     :returns: the response; its body lacks what was streamed to the caller.
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -24,13 +24,13 @@
 from hornbeamdeck.request.outcome import NotRun, to_response
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('RouterContext', 'make_answer', 'refuse_unreadable')
+__all__ = ('RouterContext', 'make_request_handler', 'refuse_unreadable')
 
 COMPLETION_PATHS: Final = ('/v1/chat/completions', '/v1/completions')
 
 
-def make_answer(routing: RouterContext) -> RequestHandler:
-    """Make the function that answers one request."""
+def make_request_handler(routing: RouterContext) -> RequestHandler:
+    """Make the handler that answers one request."""
 
     async def _async_answer(
         request: HttpRequest,
--- a/tests/process/test_heartbeats.py
+++ b/tests/process/test_heartbeats.py
@@ -242,7 +242,7 @@
 
 
 class _ConnectedPeers(_RecordingPeers):
-    """Records messages; has a connection to a peer after the first message to it."""
+    """Records messages; the first message to a peer opens a connection."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/request/test_event_parser.py
+++ b/tests/request/test_event_parser.py
@@ -1,4 +1,4 @@
-"""Complete events from pieces of a stream."""
+"""Complete events from chunks of a stream."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,7 +19,7 @@
     start = 0
     ends = [*sorted(splits), len(STREAM)]
     for end in ends:
-        events += parser.add_piece(STREAM[start:end])
+        events += parser.add_chunk(STREAM[start:end])
         start = end
     assert b''.join(event.encoded for event in events) == STREAM
     assert [event.event_id for event in events] == ['1', '2', '3', '4', '5']
@@ -31,16 +31,16 @@
     be joined to the first event of the engine that continues the stream.
     """
     parser = EventParser()
-    assert len(parser.add_piece(STREAM[:-3])) == 4
+    assert len(parser.add_chunk(STREAM[:-3])) == 4
     assert parser.has_partial_event
 
 
 def test_all_line_endings_terminate_events() -> None:
     for end in (b'\n', b'\r\n', b'\r'):
         parser = EventParser()
-        events = parser.add_piece(b'id: 4' + end + b'data: x' + end + end)
+        events = parser.add_chunk(b'id: 4' + end + b'data: x' + end + end)
         assert len(events) == 1
 
 
 def test_events_without_an_id_have_an_empty_name() -> None:
-    assert EventParser().add_piece(b'data: id: 3\n\n')[0].event_id == ''
+    assert EventParser().add_chunk(b'data: id: 3\n\n')[0].event_id == ''
