--- a/hornbeamdeck/process/follower.py
+++ b/hornbeamdeck/process/follower.py
@@ -161,7 +161,7 @@
             self._hinted_version = version
             await self._hinted.set()
 
-    async def async_fetch_hinted(self, fetch_from_peer: FetchFromPeer) -> None:
+    async def async_fetch_hinted(self, take_from_peer: FetchFromPeer) -> None:
         """Fetch newer versions that peers have reported; never returns.
 
         A watch may hang on a dead connection until its timeout, and the store
@@ -170,11 +170,11 @@
         requested first: if every instance read from the store, each change
         would cause one store call per instance.
 
-        :param fetch_from_peer: requests the document from a peer.
+        :param take_from_peer: requests the document from a peer.
         """
         while True:
             await self._hinted.wait()
-            await fetch_from_peer(self._hinting_peer)
+            await take_from_peer(self._hinting_peer)
             if self.configuration.version < self._hinted_version:
                 await self._async_fetch()
             # If both fetches failed, the peer's next message reports the
