--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,15 +15,20 @@
 import curio
 import fire
 
-from bench.processes import Plan, ProcessFleet, ask, process_fleet
+from bench.processes import (
+    ProcessFleet,
+    ProcessFleetPlan,
+    fetch_json,
+    process_fleet,
+)
 from bench.worker import SHORT_CALL
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.client import async_fetch_once
+from hornbeamdeck.connection.client import async_fetch_on_new_connection
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import ENCODING, PREFIX_INSTANCE
-from hornbeamdeck.demo.caller import async_call
-from hornbeamdeck.demo.document import make_document
+from hornbeamdeck.demo.client import async_call
+from hornbeamdeck.demo.configuration import make_configuration
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
@@ -99,7 +104,7 @@
     for number in range(1, count):
         status = own._replace(instance_id=f'i{number}', incarnation='y' * 32)
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
-        membership.note_status(StoredObject(key, number, status.to_text()))
+        membership.apply_status(StoredObject(key, number, status.to_text()))
     return membership
 
 
@@ -110,7 +115,7 @@
 
 def _make_document_text(count: int) -> str:
     address = Address('127.0.0.1', 1)
-    raw = make_document([address], [], max_running=1, max_prompt_tokens=1)
+    raw = make_configuration([address], [], max_running=1, max_prompt_tokens=1)
     model = raw['teams'][0]
     raw['teams'] = [
         {
@@ -156,7 +161,7 @@
 
 
 def _make_cell(upstreams: int) -> Cell:
-    raw = make_document(
+    raw = make_configuration(
         [Address('127.0.0.1', 1000 + each) for each in range(upstreams)],
         [],
         max_running=4,
@@ -164,12 +169,14 @@
     )
     parsed = parse_document(json.dumps(raw), version=1).unwrap()
     cell = Cell()
-    cell.adopt(parsed.upstreams_of(CELL), weights={}, top_rank=0)
+    cell.apply_configuration(parsed.upstreams_of(CELL), weights={}, top_rank=0)
     return cell
 
 
 def _offer(cell: Cell, number: int) -> None:
-    cell.offer(_make_request(number), sender='s', deliver=_async_discard, now=0)
+    cell.enqueue(
+        _make_request(number), sender='s', deliver=_async_discard, now=0
+    )
 
 
 def _offer_many(cell: Cell) -> None:
@@ -178,7 +185,7 @@
 
 
 def _grant_waiting(cell: Cell) -> list[str]:
-    return [each.ticket.request.request_id for each in cell.grants(0)]
+    return [each.queued.request.request_id for each in cell.place_waiting(0)]
 
 
 def measure_decisions() -> list[Figures]:
@@ -222,7 +229,7 @@
         )
         _offer(cell, next(new_numbers))
         granted_ids.extend(
-            each.ticket.request.request_id for each in cell.grants(0)
+            each.queued.request.request_id for each in cell.place_waiting(0)
         )
 
     return {
@@ -269,7 +276,9 @@
 
 
 def _measure_idle_fleet(count: int) -> Figures:
-    with process_fleet(Plan(instances=count, speeds=(1.0,))) as fleet:
+    with process_fleet(
+        ProcessFleetPlan(instances=count, speeds=(1.0,))
+    ) as fleet:
         time.sleep(2)
         calls_before = _count_platform_calls(fleet)
         cpu_before_s = sum(each.cpu_s() for each in fleet.instances)
@@ -288,13 +297,13 @@
 
 
 def _count_platform_calls(fleet: ProcessFleet) -> int:
-    switches = ask(fleet.platform.address, '/standin/switches', {})
+    switches = fetch_json(fleet.platform.address, '/standin/switches', {})
     return sum(switches['calls'].values())
 
 
 def measure_peer_bytes() -> Figures:
     """Measure the bytes between instances for one streamed request."""
-    with process_fleet(Plan(instances=2, speeds=(20.0,))) as fleet:
+    with process_fleet(ProcessFleetPlan(instances=2, speeds=(20.0,))) as fleet:
         ingress = fleet.instances[1 - fleet.owner_of(CELL)]
         entry = _short_stream()
         curio.run(_async_make_calls, ingress.address, entry)
@@ -317,11 +326,11 @@
 async def _async_make_calls(address: Address, entry: Any) -> None:
     for number in range(CALL_COUNT):
         record = await async_call(entry, number, address)
-        assert record.is_whole, record
+        assert record.is_complete, record
 
 
 async def _async_fetch_metrics(address: Address) -> str:
-    response = await async_fetch_once(
+    response = await async_fetch_on_new_connection(
         address,
         HttpRequest('GET', '/metrics', '', {}, b''),
         timeout_ms=2000,
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -20,8 +20,8 @@
 from bench.replay_load import Arrival, LoadPlan, Loss, draw_arrivals
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.process.engine_directory import Engine
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.cell import Refused
-from hornbeamdeck.scheduling.cell_door import Shared
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import (
@@ -29,7 +29,7 @@
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import EngineTraits
+from hornbeamdeck.version.gateway import EngineProperties
 from hornbeamdeck.wire import Enqueue, Message, Progress, Release, RunEnd
 
 # Delay from a grant until the request reaches the engine, and from an event at
@@ -163,7 +163,7 @@
         self._offer(attempt)
 
     def _offer(self, attempt: _Attempt) -> None:
-        refused = self._cell.offer(
+        refused = self._cell.enqueue(
             self._to_enqueue(attempt),
             sender='ingress',
             deliver=_async_discard,
@@ -197,10 +197,10 @@
         )
 
     def _grant(self) -> None:
-        for refused in list(self._cell.expire(self.now)):
+        for refused in list(self._cell.refuse_expired(self.now)):
             self._refuse(refused)
-        for granted in list(self._cell.grants(self.now)):
-            attempt = self._attempts[granted.ticket.request.request_id]
+        for granted in list(self._cell.place_waiting(self.now)):
+            attempt = self._attempts[granted.queued.request.request_id]
             attempt.engine = granted.upstream
             attempt.granted_ms = self.now
             self._schedule(
@@ -312,7 +312,7 @@
         self._grant()
 
     def _refuse(self, refused: Refused) -> None:
-        attempt = self._attempts.pop(refused.ticket.request.request_id)
+        attempt = self._attempts.pop(refused.queued.request.request_id)
         arrival = attempt.arrival
         kind = arrival.kind
         waited_ms = self.now - attempt.arrived_ms
@@ -387,7 +387,7 @@
         is_first_start=True,
     )
     cell = EngineCell(
-        Shared(quotas=quotas, teams={}),
+        SharedState(quotas=quotas, teams={}),
         RetryBudget(ratio=0.2, slack=100, window_ms=10_000),
     )
     engines = [
@@ -397,13 +397,13 @@
             Address('127.0.0.1', each + 1),
             'z1',
             plan.slots,
-            is_leaving=False,
+            is_draining=False,
             born_ms=1,
         )
         for each in range(len(plan.slowness))
     ]
-    traits = EngineTraits(plan.slots, TOKENS_PER_EVENT, 660_000)
-    cell.adopt(engines, traits, {})
+    properties = EngineProperties(plan.slots, TOKENS_PER_EVENT, 660_000)
+    cell.update_engines(engines, properties, {})
     return cell
 
 
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -11,7 +11,7 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.trace import TraceEntry
 
 SHORT_CALL: Final = TraceEntry(
@@ -30,7 +30,7 @@
     calls = 0
     while now_ms() < until_ms:
         record = await async_call(SHORT_CALL, calls, address)
-        calls += record.is_whole
+        calls += record.is_complete
     return calls
 
 
--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -8,7 +8,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.errors import ConnectFailed, ConnectionBroken
 from hornbeamdeck.connection.http import (
@@ -19,7 +19,7 @@
     join_headers,
 )
 
-__all__ = ('ClientConnection', 'async_fetch_once')
+__all__ = ('ClientConnection', 'async_fetch_on_new_connection')
 
 MAX_HEADER_BYTES: Final = 65_536
 MAX_BODY_BYTES: Final = 16_777_216
@@ -47,23 +47,23 @@
         address: Address,
         *,
         timeout_ms: int,
-        unheard_ms: int = 0,
+        ack_timeout_ms: int = 0,
     ) -> Result[Self, ConnectFailed]:
         """Open a connection.
 
         :param timeout_ms: time limit for the TCP handshake, milliseconds.
-        :param unheard_ms: the connection breaks when written bytes stay
+        :param ack_timeout_ms: the connection breaks when written bytes stay
             unacknowledged for longer than this, milliseconds; 0: the default
             of the operating system, which is many minutes.
         :returns: the connection, or an error; after an error no byte was
             written.
         """
         connected = await async_connect(address, timeout_ms=timeout_ms)
-        if unheard_ms and isinstance(connected, Ok):
+        if ack_timeout_ms and isinstance(connected, Ok):
             connected.ok_value.setsockopt(
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                unheard_ms,
+                ack_timeout_ms,
             )
         return connected.map(lambda sock: cls(sock, address))
 
@@ -73,7 +73,7 @@
         return self._address
 
     @property
-    def may_reuse(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another request can be sent on this connection.
 
         Bytes received after a complete response belong to no request, so a
@@ -126,8 +126,8 @@
             if not isinstance(event.ok_value, h11.InformationalResponse):
                 return Err(ConnectionBroken('closed before the response head'))
 
-    async def async_read_piece(self) -> Result[bytes, ConnectionBroken]:
-        """Read the next piece of the body.
+    async def async_read_chunk(self) -> Result[bytes, ConnectionBroken]:
+        """Read the next chunk of the body.
 
         :returns: the bytes, empty at the end of a complete body.
         """
@@ -158,12 +158,12 @@
         """Read the rest of the body."""
         body = bytearray()
         while True:
-            piece = await self.async_read_piece()
-            if isinstance(piece, Err):
-                return piece
-            if not piece.ok_value:
+            chunk = await self.async_read_chunk()
+            if isinstance(chunk, Err):
+                return chunk
+            if not chunk.ok_value:
                 return Ok(bytes(body))
-            body += piece.ok_value
+            body += chunk.ok_value
             if len(body) > MAX_BODY_BYTES:
                 return Err(ConnectionBroken('the response body is too large'))
 
@@ -192,7 +192,7 @@
             return Err(ConnectionBroken(repr(error)))
 
 
-async def async_fetch_once(
+async def async_fetch_on_new_connection(
     address: Address,
     request: HttpRequest,
     *,
@@ -207,7 +207,7 @@
     if isinstance(opened, Err):
         return opened
     try:
-        return await async_within(
+        return await async_with_timeout(
             timeout_ms,
             opened.ok_value.async_fetch(request),
         )
--- a/hornbeamdeck/connection/kept.py
+++ b/hornbeamdeck/connection/connection_pool.py
@@ -9,7 +9,7 @@
 from hornbeamdeck.connection.http import Headers
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('KeptConnections', 'kept_for_ms')
+__all__ = ('ConnectionPool', 'keep_alive_ms')
 
 # Share of an engine's announced keep-alive time in which a connection is
 # reused. The rest covers a request that is in transit when that time ends.
@@ -27,8 +27,8 @@
     expires_ms: float
 
 
-class KeptConnections:
-    """Keeps idle connections by engine; the last used is taken first.
+class ConnectionPool:
+    """Keeps idle connections by engine; the last used is acquired first.
 
     An idle connection may break without notice, or hold a late response to an
     earlier request. Therefore only requests that may run twice are sent on an
@@ -52,8 +52,8 @@
         """Count the idle connections."""
         return sum(map(len, self._idle.values()))
 
-    async def async_take(self, engine: str) -> ClientConnection | None:
-        """Take a usable idle connection to an engine, or `None`."""
+    async def async_acquire(self, engine: str) -> ClientConnection | None:
+        """Acquire a usable idle connection to an engine, or `None`."""
         idle = self._idle.get(engine)
         while idle:
             last = idle.pop()
@@ -65,7 +65,7 @@
             await last.connection.async_close()
         return None
 
-    async def async_keep(
+    async def async_release(
         self,
         engine: str,
         connection: ClientConnection,
@@ -80,12 +80,12 @@
         await self._async_close_expired()
         idle = self._idle.setdefault(engine, deque())
         max_idle = MAX_IDLE_AT_ENGINE // max(self._count_instances(), 1)
-        if idle_ms <= 0 or len(idle) >= max_idle or not connection.may_reuse:
+        if idle_ms <= 0 or len(idle) >= max_idle or not connection.is_reusable:
             await connection.async_close()
             return
         idle.append(_IdleConnection(connection, now_ms() + idle_ms))
 
-    async def async_drop(self, engine: str) -> None:
+    async def async_close_engine(self, engine: str) -> None:
         """Close all idle connections to an engine after one of them failed."""
         for idle in self._idle.pop(engine, ()):
             await idle.connection.async_close()
@@ -98,7 +98,7 @@
                 self._idle.pop(engine, None)
 
 
-def kept_for_ms(headers: Headers) -> float:
+def keep_alive_ms(headers: Headers) -> float:
     """Return how long a connection may stay idle after a response.
 
     :param headers: of the response. An engine that announces no keep-alive
--- a/hornbeamdeck/connection/peer.py
+++ b/hornbeamdeck/connection/peer.py
@@ -10,7 +10,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.errors import ConnectFailed, ConnectionBroken
 from hornbeamdeck.const import ENCODING
@@ -39,7 +39,7 @@
 class PeerIdentity(NamedTuple):
     """Identity of this process towards its peers.
 
-    :param version: returns the configuration version in force.
+    :param configuration_version: returns the configuration version in force.
     :param count_bytes: called with the direction (`sent` or `received`) and
         the number of bytes.
     :param clock: stamps sent messages and observes the received stamps.
@@ -47,7 +47,7 @@
 
     instance_id: str
     fleet_secret: str
-    version: Callable[[], int]
+    configuration_version: Callable[[], int]
     count_bytes: Callable[[str, int], None]
     clock: HybridClock
 
@@ -99,7 +99,7 @@
         :param is_caller: whether this side opened the connection.
         """
         try:
-            return await async_within(
+            return await async_with_timeout(
                 HANDSHAKE_TIMEOUT_MS,
                 self._async_exchange_proofs(is_caller),
             )
@@ -110,7 +110,7 @@
         """Queue a message without waiting for the peer."""
         await self._outbox.put(message)
 
-    def take_over(self, outbox: Queue) -> None:
+    def attach_outbox(self, outbox: Queue) -> None:
         """Write from the given queue, which may already hold messages."""
         self._outbox = outbox
 
@@ -168,7 +168,7 @@
     def _encode(self, message: Message) -> bytes:
         return encode_frame(
             message,
-            configuration_version=self._identity.version(),
+            configuration_version=self._identity.configuration_version(),
             clock_us=self._identity.clock.stamp(),
         )
 
--- a/hornbeamdeck/demo/caller.py
+++ b/hornbeamdeck/demo/client.py
@@ -7,7 +7,7 @@
 from curio.errors import TaskTimeout
 from result import Err
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import Headers, HttpRequest, HttpResponse
@@ -19,24 +19,24 @@
     HEADER_REQUEST_ID,
     HEADER_TIER,
 )
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.trace import TraceEntry
-from hornbeamdeck.standin.engine import expected_answer
+from hornbeamdeck.standin.engine import expected_response
 
-__all__ = ('CallRecord', 'async_call')
+__all__ = ('CallResult', 'async_call')
 
 CONNECT_TIMEOUT_MS: Final = 2000
 DEADLINE_GRACE_MS: Final = 500
 STATUS_BROKEN: Final = 0
 
 
-class CallRecord(NamedTuple):
+class CallResult(NamedTuple):
     """The result of a call.
 
     :param status: HTTP status; 0 if the connection broke or the client timeout
         passed.
     :param code: the `code` header, or why no response was received.
-    :param is_whole: whether the response is exactly the expected one.
+    :param is_complete: whether the response is exactly the expected one.
     :param first_token_ms: milliseconds from the start of the call to the first
         token; 0 if none was received.
     :param total_ms: duration of the call, milliseconds.
@@ -48,7 +48,7 @@
     outcome: str
     code: str
     request_id: str
-    is_whole: bool
+    is_complete: bool
     first_token_ms: float
     total_ms: float
     retry_after_s: int
@@ -56,7 +56,7 @@
     @property
     def is_in_time(self) -> bool:
         """Whether the complete response was received by the deadline."""
-        return self.is_whole and self.total_ms <= self.entry.deadline_ms
+        return self.is_complete and self.total_ms <= self.entry.deadline_ms
 
 
 class _Response(NamedTuple):
@@ -71,14 +71,14 @@
     entry: TraceEntry,
     number: int,
     address: Address,
-) -> CallRecord:
+) -> CallResult:
     """Send a call; time out `DEADLINE_GRACE_MS` after its deadline.
 
     :param number: number of the entry in its trace.
     """
     start_ms = now_ms()
     try:
-        response = await async_within(
+        response = await async_with_timeout(
             entry.deadline_ms + DEADLINE_GRACE_MS,
             _async_exchange(_make_request(entry, number), address),
         )
@@ -120,17 +120,17 @@
     body = b''
     first_byte_ms = 0.0
     while True:
-        piece = await connection.async_read_piece()
-        if isinstance(piece, Err):
+        chunk = await connection.async_read_chunk()
+        if isinstance(chunk, Err):
             return _Response(
                 head.status, head.headers, body, first_byte_ms, False
             )
-        if not piece.ok_value:
+        if not chunk.ok_value:
             return _Response(
                 head.status, head.headers, body, first_byte_ms, True
             )
         first_byte_ms = first_byte_ms or now_ms()
-        body += piece.ok_value
+        body += chunk.ok_value
 
 
 def _failed_response(code: str) -> _Response:
@@ -152,7 +152,7 @@
         return HttpRequest(entry.method, path, '', headers, body)
     completion = {
         'model': entry.service,
-        'messages': [{'role': 'user', 'content': entry.prompt(number)}],
+        'messages': [{'role': 'user', 'content': entry.make_prompt(number)}],
         'max_tokens': entry.output_tokens,
         'stream': entry.is_stream,
     }
@@ -170,18 +170,18 @@
     number: int,
     response: _Response,
     start_ms: float,
-) -> CallRecord:
+) -> CallResult:
     is_success = response.has_ended and response.status in {
         HTTPStatus.OK,
         HTTPStatus.CREATED,
     }
-    return CallRecord(
+    return CallResult(
         entry=entry,
         status=response.status if response.has_ended else STATUS_BROKEN,
         outcome=_outcome(response),
         code=response.headers.get('code', ''),
         request_id=response.headers.get(HEADER_REQUEST_ID, ''),
-        is_whole=is_success and _is_complete(entry, number, response),
+        is_complete=is_success and _is_complete(entry, number, response),
         first_token_ms=response.first_byte_ms - start_ms
         if response.first_byte_ms
         else 0,
@@ -199,15 +199,15 @@
 def _is_complete(entry: TraceEntry, number: int, response: _Response) -> bool:
     if entry.path:
         return entry.idempotency_key in response.body.decode(ENCODING)
-    expected = expected_answer(entry.prompt(number), entry.output_tokens)
+    expected = expected_response(entry.make_prompt(number), entry.output_tokens)
     if not entry.is_stream:
         parsed = json.loads(response.body)
         return bool(parsed['choices'][0]['message']['content'] == expected)
     events = response.body.decode(ENCODING).split('\n\n')
-    pieces = [
+    chunks = [
         json.loads(event.removeprefix('data: '))
         for event in events
         if event and not event.endswith('[DONE]')
     ]
-    text = ''.join(piece['choices'][0]['delta']['content'] for piece in pieces)
+    text = ''.join(chunk['choices'][0]['delta']['content'] for chunk in chunks)
     return text == expected
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -9,12 +9,12 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.listener import Listener
-from hornbeamdeck.connection.platform import PlatformClient
+from hornbeamdeck.connection.store_client import PlatformClient
 from hornbeamdeck.const import KEY_CONFIGURATION
-from hornbeamdeck.demo.document import make_document
+from hornbeamdeck.demo.configuration import make_configuration
 from hornbeamdeck.process.instance import Instance, async_setup_instance
 from hornbeamdeck.process.settings import Settings
-from hornbeamdeck.standin.batch import EngineModel
+from hornbeamdeck.standin.batch import EngineTiming
 from hornbeamdeck.standin.booking import BookingStandin, async_setup_booking
 from hornbeamdeck.standin.engine import EngineStandin, async_setup_engine
 from hornbeamdeck.standin.platform import (
@@ -46,12 +46,12 @@
 
 
 class Fleet(NamedTuple):
-    """A running fleet; replays and tests access its parts directly."""
+    """A running fleet; replays and tests access its components directly."""
 
     platform: PlatformStandin
     platform_address: Address
     engines: tuple[EngineStandin, ...]
-    booking: BookingStandin
+    booking_service: BookingStandin
     instances: list[Instance]
     listeners: list[Listener]
     plan: FleetPlan
@@ -62,14 +62,14 @@
         platform, listener = await async_setup_platform(ANY_PORT)
         booking, booking_listener = await async_setup_booking(ANY_PORT)
         engines = [
-            await async_setup_engine(ANY_PORT, EngineModel(speed=speed))
+            await async_setup_engine(ANY_PORT, EngineTiming(speed=speed))
             for speed in plan.speeds
         ]
         fleet = cls(
             platform=platform,
             platform_address=listener.address,
             engines=tuple(engine for engine, _ in engines),
-            booking=booking,
+            booking_service=booking,
             instances=[],
             listeners=[
                 *(each for _, each in engines),
@@ -101,15 +101,15 @@
         :param engines: addresses of the engines.
         :param booking_address: address of the booking service.
         """
-        document = make_document(
+        document = make_configuration(
             engines,
             [booking_address],
             max_running=self.plan.max_running,
             max_prompt_tokens=self.plan.max_prompt_tokens,
         )
-        await self.async_put_document(json.dumps(document))
+        await self.async_put_configuration(json.dumps(document))
 
-    async def async_put_document(self, document: str) -> None:
+    async def async_put_configuration(self, document: str) -> None:
         """Store a configuration document in the platform.
 
         :raises RuntimeError: if the document was not written.
@@ -171,12 +171,12 @@
         """Count the runs of each request on all engines."""
         runs: Counter[str] = Counter()
         for engine in self.engines:
-            runs.update(engine.batch.records.runs)
+            runs.update(engine.batch.counters.runs)
         return runs
 
     def owner_of(self, cell: str) -> Instance:
         """Return the owner of a cell according to the first instance."""
-        membership = self.instances[0].parts.membership
+        membership = self.instances[0].components.membership
         owner = membership.owner_of(cell)
         return next(each for each in self.instances if _id_of(each) == owner)
 
@@ -188,9 +188,9 @@
             await listener.async_unload()
 
     def _is_ready(self, instance: Instance) -> bool:
-        parts = instance.parts
-        sees_all = len(parts.membership.live()) == len(self.instances)
-        return sees_all and bool(parts.follower.configuration.version)
+        components = instance.components
+        sees_all = len(components.membership.live()) == len(self.instances)
+        return sees_all and bool(components.follower.configuration.version)
 
 
 def _id_of(instance: Instance) -> str:
--- a/hornbeamdeck/platform/documents.py
+++ b/hornbeamdeck/platform/documents.py
@@ -10,19 +10,19 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.platform.names import (
+from hornbeamdeck.platform.wire_names import (
     FIELD_NAME,
     FIELD_SERVICE,
     STATE_DRAINING,
     STATE_READY,
 )
 from hornbeamdeck.process.engine_directory import Engine
-from hornbeamdeck.version.routed import (
-    EdgeLimits,
-    EngineTraits,
+from hornbeamdeck.version.gateway import (
+    CallerLimits,
+    EngineProperties,
+    GatewayConfiguration,
+    GatewayTeam,
     Route,
-    RoutedConfiguration,
-    RoutedTeam,
     RouteKind,
     ServiceShare,
     key_digest,
@@ -78,7 +78,7 @@
     },
     extra=vol.REMOVE_EXTRA,
 )
-_ENGINE_TRAITS: Final = vol.Schema(
+_ENGINE_PROPERTIES: Final = vol.Schema(
     {
         vol.Optional('slots', default=0): _COUNT,
         vol.Optional('stride', default=1): _COUNT,
@@ -128,7 +128,7 @@
 def parse_configuration(
     text: str,
     version: int,
-) -> Result[RoutedConfiguration, tuple[object, ...]]:
+) -> Result[GatewayConfiguration, tuple[object, ...]]:
     """Parse the text of a stored configuration.
 
     :returns: the configuration, or the errors found in the text.
@@ -161,24 +161,24 @@
         address=address,
         availability_zone=entry['zone'],
         slots=entry['slots'],
-        is_leaving=entry['state'] == STATE_DRAINING,
+        is_draining=entry['state'] == STATE_DRAINING,
         born_ms=entry['born'],
     )
 
 
-def _to_configuration(text: str, version: int) -> RoutedConfiguration:
+def _to_configuration(text: str, version: int) -> GatewayConfiguration:
     raw = _DOCUMENT(json.loads(text))
     teams = [
         (_to_team(team), team['api_keys'])
         for team in map(_TEAM, raw['tenants'] or ())
     ]
-    return RoutedConfiguration(
+    return GatewayConfiguration(
         version=version,
         document=text,
         routes=_routes_by_host(map(_to_route, raw['routes'])),
         services=MappingProxyType(
             {
-                service[FIELD_NAME]: _to_traits(service.get('engine'))
+                service[FIELD_NAME]: _to_properties(service.get('engine'))
                 for service in map(_SERVICE, raw['services'])
             },
         ),
@@ -186,7 +186,7 @@
             {key_digest(key): team for team, keys in teams for key in keys},
         ),
         teams=MappingProxyType({team.name: team for team, _ in teams}),
-        limits=EdgeLimits(**_LIMITS(raw['limits'] or {})),
+        limits=CallerLimits(**_LIMITS(raw['limits'] or {})),
     )
 
 
@@ -217,27 +217,27 @@
         gap_ms=checked['target_gap_ms'] or 0,
         timeout_ms=checked['timeout_ms'],
         priority=checked['priority'] or 0,
-        max_dispatches=checked['max_attempts'] or 1,
+        max_attempts=checked['max_attempts'] or 1,
         is_public=checked['public_access'],
         is_resumable=checked['stream_resume'],
     )
 
 
-def _to_team(checked: Mapping[str, Any]) -> RoutedTeam:
-    return RoutedTeam(
+def _to_team(checked: Mapping[str, Any]) -> GatewayTeam:
+    return GatewayTeam(
         name=checked[FIELD_NAME],
         priority=checked.get('priority'),
         rate_per_s=checked['rate_per_s'] or 0,
         burst=checked['burst'] or 0,
-        plain_tokens=checked['plain_tokens'] or 0,
+        default_request_tokens=checked['plain_tokens'] or 0,
     )
 
 
-def _to_traits(raw: Any) -> EngineTraits:
+def _to_properties(raw: Any) -> EngineProperties:
     if raw is None:
-        return EngineTraits(slots=0, tokens_per_event=0, memory_tokens=0)
-    checked = _ENGINE_TRAITS(raw)
-    return EngineTraits(
+        return EngineProperties(slots=0, tokens_per_event=0, memory_tokens=0)
+    checked = _ENGINE_PROPERTIES(raw)
+    return EngineProperties(
         slots=checked['slots'],
         tokens_per_event=max(checked['stride'], 1),
         memory_tokens=checked['kv_tokens'],
--- a/hornbeamdeck/process/engine_cells.py
+++ b/hornbeamdeck/process/engine_cells.py
@@ -5,13 +5,13 @@
 import structlog
 
 from hornbeamdeck.process.engine_directory import EngineDirectory
-from hornbeamdeck.process.front_settings import Bounds
+from hornbeamdeck.process.gateway_settings import Bounds
 from hornbeamdeck.process.scheduler import Scheduler
-from hornbeamdeck.scheduling.cell_door import Shared
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import TokenQuotas
-from hornbeamdeck.version.routed import RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration
 
 __all__ = ('EngineCells',)
 
@@ -28,33 +28,33 @@
         bounds: Bounds,
         quotas: TokenQuotas,
     ) -> None:
-        """Start without cells; `adopt` creates them."""
+        """Start without cells; `apply_configuration` creates them."""
         self.quotas = quotas
         self._scheduler = scheduler
         self._directory = directory
         self._bounds = bounds
-        self._shared = Shared(quotas=quotas, teams={})
+        self._shared = SharedState(quotas=quotas, teams={})
         self._cells: dict[str, EngineCell] = {}
         self._reported_slowness: dict[str, float] = {}
-        self._configuration = RoutedConfiguration.empty()
+        self._configuration = GatewayConfiguration.empty()
 
-    def adopt(self, configuration: RoutedConfiguration) -> None:
+    def apply_configuration(self, configuration: GatewayConfiguration) -> None:
         """Apply a new configuration."""
         self._configuration = configuration
         self._shared.teams.clear()
         self._shared.teams.update(configuration.teams)
-        self.refresh()
+        self.apply_engines()
 
-    def refresh(self) -> None:
+    def apply_engines(self) -> None:
         """Apply the current list of engines to the cells."""
-        for service, traits in self._configuration.services.items():
+        for service, properties in self._configuration.services.items():
             cell = self._cells.get(service)
             if cell is None:
                 cell = EngineCell(self._shared, self._make_retry_budget())
                 self._cells[service] = cell
                 self._scheduler.cells[service] = cell
             engines = self._directory.of_service(service)
-            cell.adopt(engines, traits, self._reported_slowness)
+            cell.update_engines(engines, properties, self._reported_slowness)
 
     def slowness(self) -> dict[str, float]:
         """Return the slowness of each engine by name.
@@ -83,7 +83,7 @@
                 },
             )
 
-    def learn_slowness(self, reported: Mapping[str, float]) -> None:
+    def record_slowness(self, reported: Mapping[str, float]) -> None:
         """Record the slowness values that another owner reported."""
         self._reported_slowness.update(reported)
 
--- a/hornbeamdeck/process/proofs.py
+++ b/hornbeamdeck/process/freshness_guard.py
@@ -10,12 +10,12 @@
 from typing import Final, NamedTuple
 
 from hornbeamdeck.clock import now_ms
+from hornbeamdeck.process.coalesced_read import CoalescedRead
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.front_settings import Bounds
-from hornbeamdeck.process.shared_read import SharedRead
+from hornbeamdeck.process.gateway_settings import Bounds
 
-__all__ = ('ProofParts', 'Proofs')
+__all__ = ('FreshnessDependencies', 'FreshnessGuard')
 
 # A confirmation of the configuration expires this long before the bound on
 # revoked keys. The margin covers a second in which watches may report nothing
@@ -27,7 +27,7 @@
 SEND_MARGIN_MS: Final = 600
 
 
-class ProofParts(NamedTuple):
+class FreshnessDependencies(NamedTuple):
     """Records of confirmations and the reads that renew them.
 
     :param version: returns the configuration version held here.
@@ -46,54 +46,58 @@
     read_engines: Callable[[], Awaitable[bool]]
 
 
-class Proofs:
+class FreshnessGuard:
     """Decides what the confirmations held by this process allow."""
 
-    def __init__(self, parts: ProofParts) -> None:
-        """Check and renew the confirmations in these parts."""
-        self._parts = parts
-        self._configuration_read = SharedRead(parts.read_configuration)
-        self._engines_read = SharedRead(parts.read_engines)
+    def __init__(self, dependencies: FreshnessDependencies) -> None:
+        """Check and renew the confirmations through these dependencies."""
+        self._dependencies = dependencies
+        self._configuration_read = CoalescedRead(
+            dependencies.read_configuration
+        )
+        self._engines_read = CoalescedRead(dependencies.read_engines)
 
     @property
-    def newest_version(self) -> int:
+    def newest_confirmed_version(self) -> int:
         """Newest confirmed version of the configuration; 0: none."""
-        return self._parts.freshness.newest_version
+        return self._dependencies.freshness.newest_confirmed_version
 
     def configuration_age_ms(self) -> float:
         """Return the age of the configuration's confirmation."""
-        parts = self._parts
-        return parts.freshness.age_ms(parts.version(), now_ms())
+        dependencies = self._dependencies
+        return dependencies.freshness.age_ms(dependencies.version(), now_ms())
 
     def engines_age_ms(self) -> float:
         """Return the age of the confirmation of the list of engines."""
-        return self._parts.directory.age_ms(now_ms())
+        return self._dependencies.directory.age_ms(now_ms())
 
-    def has_keys(self) -> bool:
+    def may_accept_keys(self) -> bool:
         """Return whether keys may be accepted.
 
         They may while no key can have been revoked longer ago than the bound.
         """
-        limit_ms = self._parts.bounds().revocation_ms - REVOCATION_MARGIN_MS
+        limit_ms = (
+            self._dependencies.bounds().revocation_ms - REVOCATION_MARGIN_MS
+        )
         return self.configuration_age_ms() < limit_ms
 
-    def is_in_force(self) -> bool:
+    def is_configuration_current(self) -> bool:
         """Return whether every change due by now is in force here."""
-        limit_ms = self._parts.bounds().configuration_apply_ms
+        limit_ms = self._dependencies.bounds().configuration_apply_ms
         return self.configuration_age_ms() < limit_ms
 
-    async def async_renew_configuration(self) -> None:
+    async def async_refresh_configuration(self) -> None:
         """Read the configuration if a change could be missing."""
-        if not self.is_in_force():
+        if not self.is_configuration_current():
             await self._configuration_read.async_wait()
 
-    async def async_may_send(self, engine: str) -> bool:
+    async def async_may_send_to(self, engine: str) -> bool:
         """Return whether a request may be sent to an engine now.
 
         This is checked even after a grant: the owner's view may lag, and an
         engine may start draining while the grant is on its way.
         """
-        limit_ms = self._parts.bounds().drain_ms - SEND_MARGIN_MS
+        limit_ms = self._dependencies.bounds().drain_ms - SEND_MARGIN_MS
         if self.engines_age_ms() >= limit_ms:
             await self._engines_read.async_wait()
-        return not self._parts.directory.has_left(engine)
+        return not self._dependencies.directory.is_draining_or_removed(engine)
--- a/hornbeamdeck/process/front.py
+++ b/hornbeamdeck/process/gateway.py
@@ -12,32 +12,38 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.connection.address import Address
+from hornbeamdeck.connection.connection_pool import ConnectionPool
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.connection.kept import KeptConnections
 from hornbeamdeck.connection.listener import Listener, async_setup_listener
 from hornbeamdeck.connection.reader import ReadLimits
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.attendance import FLEET_CELL
-from hornbeamdeck.process.beat_pace import BEAT_MS
-from hornbeamdeck.process.front_pages import async_serve_endpoint
-from hornbeamdeck.process.front_parts import FrontParts, FrontWires
-from hornbeamdeck.process.front_settings import FrontSettings
-from hornbeamdeck.process.membership import STATE_LEAVING
+from hornbeamdeck.process.freshness_guard import (
+    FreshnessDependencies,
+    FreshnessGuard,
+)
+from hornbeamdeck.process.gateway_components import (
+    GatewayComponents,
+    PlatformAdapter,
+)
+from hornbeamdeck.process.gateway_endpoints import async_serve_endpoint
+from hornbeamdeck.process.gateway_settings import GatewaySettings
+from hornbeamdeck.process.heartbeat_pace import MIN_HEARTBEAT_INTERVAL_MS
+from hornbeamdeck.process.instance_registration import InstanceRegistration
+from hornbeamdeck.process.liveness import FLEET_CELL
+from hornbeamdeck.process.membership import STATE_DRAINING
 from hornbeamdeck.process.peer_server import make_peer_server
-from hornbeamdeck.process.proofs import ProofParts, Proofs
-from hornbeamdeck.process.store_entry import StoreEntry
-from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_edge import (
-    Edge,
-    make_routed_answer,
+from hornbeamdeck.request.gateway_admission import GatewayAdmission
+from hornbeamdeck.request.gateway_handler import (
+    GatewayContext,
+    make_gateway_handler,
     refuse_unreadable,
 )
-from hornbeamdeck.request.routed_run import async_run_routed
+from hornbeamdeck.request.gateway_run import async_run_gateway_request
 
-__all__ = ('Front',)
+__all__ = ('Gateway',)
 
 _LOGGER = structlog.get_logger(prefix='front')
 
@@ -49,46 +55,50 @@
 DRAIN_POLL_MS: Final = 50
 # Interval at which the owner logs the load of its engines.
 LOAD_LOG_INTERVAL_MS: Final = 2000
-# Imported when metrics are first read; see `front_metrics`.
-METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.front_metrics_page'
+# Imported when metrics are first read; see `gateway_metrics`.
+METRICS_EXPORT_MODULE: Final = 'hornbeamdeck.process.gateway_metrics_export'
 METRICS_CONTENT_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 # Longest time from the first to the last byte of a request.
 REQUEST_READ_TIMEOUT_MS: Final = 15_000
 
 
-class Front:
+class Gateway:
     """A gateway process; tests run several of them in one process."""
 
-    def __init__(self, settings: FrontSettings, adapter: FrontWires) -> None:
+    def __init__(
+        self, settings: GatewaySettings, adapter: PlatformAdapter
+    ) -> None:
         """Create the components; `async_start` opens the addresses."""
         self.settings = settings
-        self.parts = FrontParts.from_settings(settings, adapter)
-        self.proofs = Proofs(
-            ProofParts(
-                freshness=self.parts.freshness,
-                directory=self.parts.directory,
-                version=self.parts.identity.version,
+        self.components = GatewayComponents.from_settings(settings, adapter)
+        self.freshness_guard = FreshnessGuard(
+            FreshnessDependencies(
+                freshness=self.components.freshness,
+                directory=self.components.directory,
+                version=self.components.identity.configuration_version,
                 bounds=lambda: self.settings.bounds,
-                read_configuration=self.parts.reader.async_read_configuration,
-                read_engines=self.parts.reader.async_read_engines,
+                read_configuration=self.components.reader.async_read_configuration,
+                read_engines=self.components.reader.async_read_engines,
             ),
         )
-        self.is_leaving = False
+        self.is_draining = False
         self.in_flight = 0
         self._stop_requested_ms = math.inf
         self._adapter = adapter
-        self._store_entry = StoreEntry(self.parts.store, self.parts.membership)
+        self._registration = InstanceRegistration(
+            self.components.store, self.components.membership
+        )
         self.listeners: list[Listener] = []
         self._tasks: list[Task] = []
 
     @property
     def is_ready(self) -> bool:
         """Whether callers may be directed to this process."""
-        parts = self.parts
+        components = self.components
         return (
-            not self.is_leaving
-            and parts.follower.configuration.version > 0
-            and parts.directory.version > 0
+            not self.is_draining
+            and components.follower.configuration.version > 0
+            and components.directory.version > 0
         )
 
     async def async_start(self) -> None:
@@ -105,17 +115,17 @@
         peers = await async_setup_listener(
             settings.peer_address,
             make_peer_server(
-                self.parts.identity,
-                self.parts.scheduler,
-                self.parts.follower,
-                self.parts.snapshots,
-                self.parts.beats.async_answer,
+                self.components.identity,
+                self.components.scheduler,
+                self.components.follower,
+                self.components.snapshots,
+                self.components.heartbeats.async_handle_request,
             ),
         )
-        callers = await self._async_listen_to_callers(self._make_edge())
+        callers = await self._async_listen_to_callers(self._make_context())
         self.listeners += (peers, callers)
-        membership = self.parts.membership
-        membership.own = membership.own._replace(
+        membership = self.components.membership
+        membership.own_status = membership.own_status._replace(
             address=callers.address,
             peer_address=peers.address,
         )
@@ -124,7 +134,7 @@
             'process started',
             address=str(callers.address),
             availability_zone=settings.availability_zone,
-            incarnation=self.parts.membership.own.incarnation,
+            incarnation=self.components.membership.own_status.incarnation,
             is_first_start=settings.is_first_start,
         )
 
@@ -134,16 +144,18 @@
         :returns: how many requests were cut off at the end of the grace
             period.
         """
-        parts = self.parts
-        self.is_leaving = True
+        components = self.components
+        self.is_draining = True
         self._stop_requested_ms = now_ms()
-        parts.membership.own = parts.membership.own._replace(
-            state=STATE_LEAVING,
+        components.membership.own_status = (
+            components.membership.own_status._replace(
+                state=STATE_DRAINING,
+            )
         )
         _LOGGER.info('planned stop begins', in_flight=self.in_flight)
-        await parts.beats.async_beat()
-        await parts.grants.async_review()
-        await self._async_spawn(self._store_entry.async_withdraw())
+        await components.heartbeats.async_send_heartbeats()
+        await components.grants.async_move_to_current_owners()
+        await self._async_spawn(self._registration.async_deregister())
         bounds = self.settings.bounds
         deadline_ms = (
             self._stop_requested_ms + bounds.grace_ms - SHUTDOWN_MARGIN_MS
@@ -166,9 +178,9 @@
             await task.cancel()
         for listener in self.listeners:
             await listener.async_unload()
-        await self.parts.peers.async_close()
+        await self.components.peers.async_close()
 
-    def reload(self, settings: FrontSettings) -> None:
+    def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings; the open addresses are not changed."""
         changed = [
             name
@@ -180,28 +192,28 @@
         self.settings = settings
         _LOGGER.info('settings reloaded', changed=changed)
 
-    def _make_edge(self) -> Edge:
-        parts = self.parts
+    def _make_context(self) -> GatewayContext:
+        components = self.components
 
-        def _spend(team: str, tokens: int) -> None:
-            parts.spending.add(team, tokens, now_ms())
+        def _record_granted_tokens(team: str, tokens: int) -> None:
+            components.spending.add(team, tokens, now_ms())
 
-        return Edge(
+        return GatewayContext(
             dialect=self._adapter.dialect,
-            configuration=lambda: parts.follower.configuration,
-            proofs=self.proofs,
-            connections=KeptConnections(
-                lambda: len(parts.membership.ranked(FLEET_CELL)),
+            configuration=lambda: components.follower.configuration,
+            freshness_guard=self.freshness_guard,
+            connection_pool=ConnectionPool(
+                lambda: len(components.membership.ranked_ids(FLEET_CELL)),
             ),
-            acquire=parts.grants.async_acquire,
-            progress=parts.grants.async_progress,
-            release=parts.grants.async_release,
-            spend=_spend,
-            metrics=parts.metrics,
+            acquire_grant=components.grants.async_acquire,
+            report_first_token=components.grants.async_report_first_token,
+            release_grant=components.grants.async_release,
+            record_granted_tokens=_record_granted_tokens,
+            metrics=components.metrics,
             zone=self.settings.availability_zone,
-            is_leaving=lambda: self.is_leaving,
-            stop_share=self._elapsed_grace_share,
-            in_flight=self._count_in_flight,
+            is_draining=lambda: self.is_draining,
+            shutdown_progress=self._elapsed_grace_share,
+            track_in_flight=self._count_in_flight,
         )
 
     def _elapsed_grace_share(self) -> float:
@@ -211,27 +223,29 @@
     @contextmanager
     def _count_in_flight(self) -> Iterator[None]:
         self.in_flight += 1
-        self.parts.metrics.in_flight = self.in_flight
+        self.components.metrics.in_flight = self.in_flight
         try:
             yield
         finally:
             self.in_flight -= 1
-            self.parts.metrics.in_flight = self.in_flight
+            self.components.metrics.in_flight = self.in_flight
 
-    async def _async_listen_to_callers(self, edge: Edge) -> Listener:
+    async def _async_listen_to_callers(
+        self, context: GatewayContext
+    ) -> Listener:
         async def _async_run(
-            admission: RoutedAdmission,
+            admission: GatewayAdmission,
             caller: ServerConnection,
         ) -> None:
-            await async_run_routed(edge, admission, caller)
+            await async_run_gateway_request(context, admission, caller)
 
-        respond = make_routed_answer(edge, _async_run)
+        respond = make_gateway_handler(context, _async_run)
 
         def _refuse(bad: BadRequest) -> HttpResponse:
-            return refuse_unreadable(edge, bad)
+            return refuse_unreadable(context, bad)
 
         def _limits() -> ReadLimits:
-            limits = self.parts.follower.configuration.limits
+            limits = self.components.follower.configuration.limits
             return ReadLimits(
                 idle_ms=limits.idle_timeout_ms,
                 request_ms=REQUEST_READ_TIMEOUT_MS,
@@ -251,56 +265,58 @@
         return HttpResponse(status, {}, b'')
 
     def _entries_endpoint(self, request: HttpRequest) -> HttpResponse:
-        return self._adapter.entries_page(
+        return self._adapter.handle_entries_request(
             request,
-            self.parts.beats.attendance.usable(),
+            self.components.heartbeats.liveness.serving_instances(),
             self.settings.bounds.entries_ttl_ms,
         )
 
     def _metrics_endpoint(self, _request: HttpRequest) -> HttpResponse:
         headers = {'content-type': METRICS_CONTENT_TYPE}
-        self.parts.metrics.record_confirmation_ages(
-            self.proofs.configuration_age_ms(),
-            self.proofs.engines_age_ms(),
+        self.components.metrics.record_confirmation_ages(
+            self.freshness_guard.configuration_age_ms(),
+            self.freshness_guard.engines_age_ms(),
         )
         module = importlib.import_module(METRICS_EXPORT_MODULE)
-        body: bytes = module.render(self.parts.metrics)
+        body: bytes = module.render(self.components.metrics)
         return HttpResponse(HTTPStatus.OK, headers, body)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.parts
+        components = self.components
         for work in (
-            parts.reader.async_follow_configuration(),
-            parts.reader.async_follow_engines(),
-            parts.follower.async_fetch_hinted(
-                parts.snapshots.async_take_from_peer,
+            components.reader.async_follow_configuration(),
+            components.reader.async_follow_engines(),
+            components.follower.async_fetch_hinted(
+                components.snapshots.async_fetch_from_peer,
+            ),
+            components.snapshots.async_fetch_from_seeds(
+                self.settings.seed_peers
             ),
-            parts.snapshots.async_seed(self.settings.seed_peers),
-            parts.beats.async_run(),
-            parts.scheduler.async_sweep(),
-            parts.grants.watch.async_run(),
-            self._async_review_ownership(),
-            self._store_entry.async_publish(),
-            self._store_entry.async_list(),
+            components.heartbeats.async_run(),
+            components.scheduler.async_refuse_expired(),
+            components.grants.owner_watch.async_run(),
+            self._async_follow_ownership(),
+            self._registration.async_register(),
+            self._registration.async_discover(),
         ):
             await self._async_spawn(work)
 
     async def _async_spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(await spawn(work, daemon=True))
 
-    async def _async_review_ownership(self) -> None:
+    async def _async_follow_ownership(self) -> None:
         """Move requests when the owner changes; never returns."""
-        was_owner = self.parts.is_owner
+        was_owner = self.components.is_owner
         logged_ms = 0.0
         while True:
-            await sleep(BEAT_MS / MILLIS_PER_SECOND)
-            is_owner = self.parts.is_owner
+            await sleep(MIN_HEARTBEAT_INTERVAL_MS / MILLIS_PER_SECOND)
+            is_owner = self.components.is_owner
             if is_owner and now_ms() - logged_ms > LOAD_LOG_INTERVAL_MS:
                 logged_ms = now_ms()
-                self.parts.cells.log_load()
+                self.components.cells.log_load()
             if is_owner != was_owner:
                 _LOGGER.info('ownership changed', is_owner=is_owner)
             if was_owner and not is_owner:
-                self.parts.cells.quotas.forget()
+                self.components.cells.quotas.reset()
             was_owner = is_owner
-            await self.parts.grants.async_review()
+            await self.components.grants.async_move_to_current_owners()
--- a/hornbeamdeck/process/front_parts.py
+++ b/hornbeamdeck/process/gateway_components.py
@@ -9,18 +9,18 @@
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.peer import PeerIdentity
-from hornbeamdeck.connection.platform import PlatformDown, StoredObject
+from hornbeamdeck.connection.store_client import StoredObject, StoreUnavailable
 from hornbeamdeck.const import KEY_CONFIGURATION
 from hornbeamdeck.hybrid_clock import HybridClock
-from hornbeamdeck.process.attendance import FLEET_CELL
-from hornbeamdeck.process.beats import BeatParts, Beats
 from hornbeamdeck.process.engine_cells import EngineCells
 from hornbeamdeck.process.engine_directory import EngineDirectory
-from hornbeamdeck.process.follower import ConfigurationFollower, DocumentKind
+from hornbeamdeck.process.follower import ConfigurationFollower, DocumentSource
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from hornbeamdeck.process.grants import Grants
+from hornbeamdeck.process.heartbeats import HeartbeatDependencies, Heartbeats
+from hornbeamdeck.process.liveness import FLEET_CELL
 from hornbeamdeck.process.membership import (
     STATE_LIVE,
     InstanceStatus,
@@ -28,33 +28,36 @@
 )
 from hornbeamdeck.process.peers import Peers
 from hornbeamdeck.process.scheduler import Scheduler
-from hornbeamdeck.process.snapshot import Snapshots
+from hornbeamdeck.process.snapshots import Snapshots
 from hornbeamdeck.process.spending import SpendingLog, SpendingReports
-from hornbeamdeck.process.store_access import (
+from hornbeamdeck.process.store_interface import (
     ConfigurationRead,
     ReadConfiguration,
-    StoreAccess,
+    StoreInterface,
 )
-from hornbeamdeck.process.store_reader import ReaderParts, StoreReader
-from hornbeamdeck.request.routed_ask import Dialect
+from hornbeamdeck.process.store_reader import (
+    StoreReader,
+    StoreReaderDependencies,
+)
+from hornbeamdeck.request.gateway_request import Dialect
 from hornbeamdeck.scheduling.token_quota import (
     QuotaRules,
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration
 from hornbeamdeck.wire import Beat, EngineList, Message
 
-__all__ = ('FrontParts', 'FrontWires')
+__all__ = ('GatewayComponents', 'PlatformAdapter')
 
 # A lost instance gets a heartbeat every second and is used again when it
 # responds. Until then, no request is sent to it.
 SUSPECT_MS: Final = 30_000
 
-Follower: TypeAlias = ConfigurationFollower[RoutedConfiguration]
+Follower: TypeAlias = ConfigurationFollower[GatewayConfiguration]
 Parse: TypeAlias = Callable[
     [str, int],
-    Result[RoutedConfiguration, tuple[object, ...]],
+    Result[GatewayConfiguration, tuple[object, ...]],
 ]
 EntriesEndpoint: TypeAlias = Callable[
     [HttpRequest, list[InstanceStatus], int],
@@ -62,28 +65,29 @@
 ]
 
 
-class FrontWires(NamedTuple):
+class PlatformAdapter(NamedTuple):
     """The functions that adapt a gateway process to its platform.
 
     :param open_store: takes the store's address and a callback that counts
         calls by role.
-    :param parse: parses a configuration document; takes its text and version.
-    :param entries_page: responds to a caller that requests the addresses to
-        connect to; takes the request, the usable instances and for how long,
-        in ms, the response may be cached.
+    :param parse_configuration: parses a configuration document; takes its text
+        and version.
+    :param handle_entries_request: responds to a caller that requests the
+        addresses to connect to; takes the request, the usable instances and for
+        how long, in ms, the response may be cached.
     """
 
-    open_store: Callable[[Address, Callable[[str], None]], StoreAccess]
+    open_store: Callable[[Address, Callable[[str], None]], StoreInterface]
     dialect: Dialect
-    parse: Parse
-    entries_page: EntriesEndpoint
+    parse_configuration: Parse
+    handle_entries_request: EntriesEndpoint
 
 
-class FrontParts(NamedTuple):
+class GatewayComponents(NamedTuple):
     """All components of a gateway process except its sockets."""
 
-    metrics: FrontMetrics
-    store: StoreAccess
+    metrics: GatewayMetrics
+    store: StoreInterface
     membership: Membership
     freshness: Freshness
     directory: EngineDirectory
@@ -92,18 +96,18 @@
     cells: EngineCells
     peers: Peers
     grants: Grants
-    beats: Beats
+    heartbeats: Heartbeats
     reader: StoreReader
-    snapshots: Snapshots[RoutedConfiguration]
+    snapshots: Snapshots[GatewayConfiguration]
     identity: PeerIdentity
     spending: SpendingLog
 
     @classmethod
     def from_settings(
-        cls, settings: FrontSettings, adapter: FrontWires
+        cls, settings: GatewaySettings, adapter: PlatformAdapter
     ) -> Self:
         """Create all components; no address is opened yet."""
-        metrics = FrontMetrics()
+        metrics = GatewayMetrics()
         store = adapter.open_store(
             settings.platform_address,
             metrics.count_store_call,
@@ -113,7 +117,7 @@
             suspect_ms=SUSPECT_MS,
             common_cell=FLEET_CELL,
         )
-        membership.note_published()
+        membership.mark_published()
         directory = EngineDirectory()
         reports = SpendingReports(settings.bounds.quota_window_ms)
         scheduler = Scheduler()
@@ -125,8 +129,8 @@
             settings.bounds,
             TokenQuotas(
                 QuotaView(
-                    spent=reports.spent,
-                    is_remembered=reports.is_complete,
+                    spent=reports.tokens_spent,
+                    covers_window=reports.is_complete,
                     share=lambda: fleet_share[0](),
                 ),
                 QuotaRules(
@@ -138,7 +142,7 @@
         )
         follower = _make_follower(
             _make_configuration_read(store, readers),
-            adapter.parse,
+            adapter.parse_configuration,
             metrics,
             cells,
         )
@@ -150,37 +154,39 @@
         )
         spending = SpendingLog(settings.bounds.quota_window_ms)
         freshness = Freshness()
-        beats = Beats(
-            BeatParts(
+        heartbeats = Heartbeats(
+            HeartbeatDependencies(
                 membership=membership,
                 peers=peers,
                 freshness=freshness,
                 directory=directory,
                 spending=spending,
-                reports=reports,
-                version=identity.version,
-                slowness=cells.slowness,
-                learn_slowness=cells.learn_slowness,
-                on_engines=cells.refresh,
+                spending_reports=reports,
+                configuration_version=identity.configuration_version,
+                engine_slowness=cells.slowness,
+                apply_slowness=cells.record_slowness,
+                on_engines_changed=cells.apply_engines,
                 is_store_reached=lambda: readers[0].is_store_reached,
                 is_first_start=settings.is_first_start,
             ),
         )
-        fleet_share.append(beats.attendance.share)
+        fleet_share.append(heartbeats.liveness.live_share)
         grants = Grants(membership, peers, scheduler)
-        _register_handlers(peers, beats, grants)
+        _register_handlers(peers, heartbeats, grants)
         readers.append(
             StoreReader(
-                ReaderParts(
+                StoreReaderDependencies(
                     access=store,
                     freshness=freshness,
                     directory=directory,
-                    rank=beats.attendance.rank,
+                    rank=heartbeats.liveness.rank,
                     is_owner=lambda: _is_owner(membership),
-                    is_owner_lost=lambda: beats.is_owner_lost,
-                    version=identity.version,
+                    has_owner_lost_store=lambda: (
+                        heartbeats.has_owner_lost_store
+                    ),
+                    version=identity.configuration_version,
                     on_document=follower.async_note,
-                    on_engines=cells.refresh,
+                    on_engines_changed=cells.apply_engines,
                 ),
             ),
         )
@@ -195,7 +201,7 @@
             cells=cells,
             peers=peers,
             grants=grants,
-            beats=beats,
+            heartbeats=heartbeats,
             reader=readers[0],
             snapshots=Snapshots(follower, membership, identity),
             identity=identity,
@@ -209,10 +215,10 @@
 
 
 def _is_owner(membership: Membership) -> bool:
-    return membership.owner_of(FLEET_CELL) == membership.own.instance_id
+    return membership.owner_of(FLEET_CELL) == membership.own_status.instance_id
 
 
-def _own_status(settings: FrontSettings) -> InstanceStatus:
+def _own_status(settings: GatewaySettings) -> InstanceStatus:
     return InstanceStatus(
         instance_id=settings.instance_id,
         address=settings.address,
@@ -225,7 +231,7 @@
 
 
 def _make_configuration_read(
-    store: StoreAccess,
+    store: StoreInterface,
     readers: list[StoreReader],
 ) -> ReadConfiguration:
     """Return a function that reads the store unless it is known to be down.
@@ -234,9 +240,9 @@
     requested from that peer without waiting for the store's timeout.
     """
 
-    async def _async_read() -> Result[ConfigurationRead, PlatformDown]:
+    async def _async_read() -> Result[ConfigurationRead, StoreUnavailable]:
         if not readers[0].is_store_reached:
-            return Err(PlatformDown('the last call to the store failed'))
+            return Err(StoreUnavailable('the last call to the store failed'))
         return await store.read_configuration()
 
     return _async_read
@@ -245,10 +251,10 @@
 def _make_follower(
     read_configuration: ReadConfiguration,
     parse: Parse,
-    metrics: FrontMetrics,
+    metrics: GatewayMetrics,
     cells: EngineCells,
 ) -> Follower:
-    async def _async_fetch() -> Result[StoredObject | None, PlatformDown]:
+    async def _async_fetch() -> Result[StoredObject | None, StoreUnavailable]:
         response = await read_configuration()
         if not isinstance(response, Ok):
             return response
@@ -263,13 +269,13 @@
             ),
         )
 
-    async def _async_adopted(configuration: RoutedConfiguration) -> None:
+    async def _async_adopted(configuration: GatewayConfiguration) -> None:
         metrics.configuration_version = configuration.version
-        cells.adopt(configuration)
+        cells.apply_configuration(configuration)
 
     return ConfigurationFollower(
-        DocumentKind(
-            empty=RoutedConfiguration.empty(),
+        DocumentSource(
+            empty=GatewayConfiguration.empty(),
             parse=parse,
             fetch=_async_fetch,
             on_adopted=_async_adopted,
@@ -278,29 +284,31 @@
 
 
 def _make_identity(
-    settings: FrontSettings,
-    metrics: FrontMetrics,
+    settings: GatewaySettings,
+    metrics: GatewayMetrics,
     follower: Follower,
 ) -> PeerIdentity:
     return PeerIdentity(
         instance_id=settings.instance_id,
         fleet_secret=settings.fleet_secret,
-        version=lambda: follower.configuration.version,
+        configuration_version=lambda: follower.configuration.version,
         count_bytes=metrics.count_peer_bytes,
         clock=HybridClock(),
     )
 
 
-def _register_handlers(peers: Peers, beats: Beats, grants: Grants) -> None:
+def _register_handlers(
+    peers: Peers, heartbeats: Heartbeats, grants: Grants
+) -> None:
     async def _async_on_message(peer_id: str, message: Message) -> None:
         if isinstance(message, Beat | EngineList):
-            grants.watch.heard(peer_id)
-            await beats.async_receive(peer_id, message)
+            grants.owner_watch.record_message(peer_id)
+            await heartbeats.async_handle_response(peer_id, message)
             return
         await grants.async_receive(peer_id, message)
 
     async def _async_on_disconnect(peer_id: str) -> None:
-        beats.forget_told(peer_id)
+        heartbeats.forget_sent(peer_id)
         await grants.async_owner_lost(peer_id)
 
-    peers.listen(_async_on_message, _async_on_disconnect)
+    peers.set_callbacks(_async_on_message, _async_on_disconnect)
--- a/hornbeamdeck/process/front_metrics.py
+++ b/hornbeamdeck/process/gateway_metrics.py
@@ -1,6 +1,6 @@
 """Metrics of a gateway process.
 
-Counts are plain numbers; `front_metrics_page` converts them to the metrics
+Counts are plain numbers; `gateway_metrics_export` converts them to the metrics
 library's types. Only that module imports the library, and it is imported when
 metrics are first read, to reduce startup time and the memory of idle processes.
 """
@@ -11,7 +11,7 @@
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('BUCKETS_S', 'FrontMetrics', 'LatencyHistogram')
+__all__ = ('BUCKETS_S', 'GatewayMetrics', 'LatencyHistogram')
 
 # Chosen around the latency objectives of the current routes, 0.1 to 1 s, and
 # around the time limits.
@@ -34,7 +34,7 @@
         self.counts[bisect_left(BUCKETS_S, seconds)] += 1
 
 
-class FrontMetrics:
+class GatewayMetrics:
     """Counters and latencies; `docs/operators/metrics.md` lists them."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self.confirmation_ages_ms: dict[str, float] = {}
         self.log_lines_dropped = 0
 
-    def ended(
+    def count_request(
         self,
         service: str,
         priority: int,
@@ -63,11 +63,11 @@
         self.requests[service, str(priority), code] += 1
         self.total_latencies[str(priority)].observe(total_ms)
 
-    def first_token(self, first_ms: float) -> None:
+    def record_first_token(self, first_ms: float) -> None:
         """Record a time to first token."""
         self.first_token_latencies.observe(first_ms)
 
-    def refused(self, code: str) -> None:
+    def count_refusal(self, code: str) -> None:
         """Count a request refused before it was admitted."""
         self.edge_refusals[code] += 1
 
--- a/hornbeamdeck/process/beat_clock.py
+++ b/hornbeamdeck/process/heartbeat_clock.py
@@ -10,16 +10,16 @@
 import secrets
 from typing import Final
 
-__all__ = ('NEVER_MS', 'BeatClock', 'told_age_ms')
+__all__ = ('NEVER_CONFIRMED_AGE_MS', 'HeartbeatClock', 'confirmation_age_ms')
 
 # Age in milliseconds that stands for "never confirmed".
-NEVER_MS: Final = 1_000_000_000
+NEVER_CONFIRMED_AGE_MS: Final = 1_000_000_000
 
 _MIN_ORIGIN_MS: Final = 10_000_000_000_000
 _ORIGIN_RANGE_MS: Final = 1_000_000_000_000_000
 
 
-class BeatClock:
+class HeartbeatClock:
     """Generates the heartbeat stamps of one incarnation."""
 
     def __init__(self, now: float) -> None:
@@ -31,7 +31,9 @@
         """Return the stamp for a heartbeat that is sent now."""
         return int(now) + self._origin_ms
 
-    def asked_ms(self, echo_ms: int, age_ms: int, now: float) -> float | None:
+    def requested_ms(
+        self, echo_ms: int, age_ms: int, now: float
+    ) -> float | None:
         """Return a lower bound for when the peer's store request was sent.
 
         The result is on this process's clock.
@@ -49,11 +51,11 @@
         return requested_ms if requested_ms <= now else None
 
 
-def told_age_ms(at_ms: float, confirmed_ms: float) -> int:
+def confirmation_age_ms(at_ms: float, confirmed_ms: float) -> int:
     """Return a confirmation's age as sent in a heartbeat, rounded up.
 
     :param at_ms: the time at which the age is taken.
     """
     if math.isinf(confirmed_ms):
-        return NEVER_MS
+        return NEVER_CONFIRMED_AGE_MS
     return math.ceil(at_ms - confirmed_ms)
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -8,22 +8,22 @@
 from curio import Task, sleep, socket, spawn
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.exchange import async_serve_requests
 from hornbeamdeck.connection.listener import (
     Listener,
     ServeConnection,
     async_setup_listener,
 )
+from hornbeamdeck.connection.request_loop import async_serve_requests
 from hornbeamdeck.const import KEY_CONFIGURATION, MILLIS_PER_SECOND
-from hornbeamdeck.process.follower import ROLE, async_follow
-from hornbeamdeck.process.membership import STATE_LEAVING, InstanceStatus
-from hornbeamdeck.process.parts import Parts
+from hornbeamdeck.process.follower import CONFIGURATION_ROLE, async_follow
+from hornbeamdeck.process.instance_components import InstanceComponents
+from hornbeamdeck.process.membership import STATE_DRAINING, InstanceStatus
 from hornbeamdeck.process.peer_server import make_peer_server
 from hornbeamdeck.process.settings import Settings
-from hornbeamdeck.request.answer import Answering
+from hornbeamdeck.request.admitted_request import AnswerContext
 from hornbeamdeck.request.router import (
-    Routing,
-    make_answer,
+    RouterContext,
+    make_request_handler,
     refuse_unreadable,
 )
 
@@ -38,10 +38,10 @@
 class Instance:
     """An instance; tests run several of them in one process."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, components: InstanceComponents) -> None:
         """Create the instance; `async_start` opens the addresses."""
-        self.parts = parts
-        self.is_leaving = False
+        self.components = components
+        self.is_draining = False
         self.in_flight = 0
         self._listeners: list[Listener] = []
         self._tasks: list[Task] = []
@@ -49,7 +49,7 @@
     @property
     def own(self) -> InstanceStatus:
         """The status that this instance publishes."""
-        return self.parts.membership.own
+        return self.components.membership.own_status
 
     async def async_start(self) -> None:
         """Open the addresses, then start the background tasks.
@@ -57,23 +57,23 @@
         The store may be down at startup. The tasks retry, and the
         configuration is received later from peers or from the store.
         """
-        parts = self.parts
+        components = self.components
         callers = await async_setup_listener(
-            parts.settings.address,
+            components.settings.address,
             self._serve_callers(),
         )
         serve_peer = make_peer_server(
-            parts.identity,
-            parts.scheduler,
-            parts.follower,
-            parts.snapshots,
+            components.identity,
+            components.scheduler,
+            components.follower,
+            components.snapshots,
         )
         peers = await async_setup_listener(
-            parts.settings.peer_address,
+            components.settings.peer_address,
             serve_peer,
         )
         self._listeners = [callers, peers]
-        parts.membership.own = self.own._replace(
+        components.membership.own_status = self.own._replace(
             address=callers.address,
             peer_address=peers.address,
         )
@@ -89,19 +89,23 @@
 
         :returns: how many requests were cut off at the drain deadline.
         """
-        parts = self.parts
-        self.is_leaving = True
-        parts.membership.own = self.own._replace(state=STATE_LEAVING)
+        components = self.components
+        self.is_draining = True
+        components.membership.own_status = self.own._replace(
+            state=STATE_DRAINING
+        )
         _LOGGER.info('planned stop begins', pending=self._pending())
         # This write does not count as pending work: if the store is down, it
         # would delay the shutdown until its deadline although no caller waits
         # for it.
-        await self._async_spawn_task(parts.presence.async_publish())
-        await parts.grants.async_review()
-        deadline_ms = now_ms() + parts.settings.drain_ms
+        await self._async_spawn_task(components.membership_sync.async_publish())
+        await components.grants.async_move_to_current_owners()
+        deadline_ms = now_ms() + components.settings.drain_ms
         # Callers cache the list of addresses for this time and continue to
         # connect to this instance.
-        ttl_ms = min(parts.settings.entries_ttl_ms, parts.settings.drain_ms)
+        ttl_ms = min(
+            components.settings.entries_ttl_ms, components.settings.drain_ms
+        )
         await sleep(ttl_ms / MILLIS_PER_SECOND)
         await self._listeners[0].async_stop_accepting()
         await self._async_drain(deadline_ms)
@@ -118,29 +122,29 @@
             await task.cancel()
         for listener in self._listeners:
             await listener.async_unload()
-        await self.parts.peers.async_close()
-        await self.parts.platform.async_close()
+        await self.components.peers.async_close()
+        await self.components.platform.async_close()
 
-    def answering(self) -> Answering:
+    def request_context(self) -> AnswerContext:
         """Return what a request needs, with the current configuration."""
-        parts = self.parts
-        return Answering(
-            configuration=parts.follower.configuration,
-            policy=parts.policy,
-            once=parts.once,
-            metrics=parts.metrics,
-            background=parts.background,
+        components = self.components
+        return AnswerContext(
+            configuration=components.follower.configuration,
+            policy=components.policy,
+            execution_rights=components.execution_rights,
+            metrics=components.metrics,
+            background=components.background,
         )
 
     def _serve_callers(self) -> ServeConnection:
-        routing = Routing(
-            answering=self.answering,
-            membership=self.parts.membership,
-            entries_ttl_ms=self.parts.settings.entries_ttl_ms,
-            is_leaving=lambda: self.is_leaving,
-            in_flight=self._count_in_flight,
+        router_context = RouterContext(
+            make_answer_context=self.request_context,
+            membership=self.components.membership,
+            entries_ttl_ms=self.components.settings.entries_ttl_ms,
+            is_draining=lambda: self.is_draining,
+            track_in_flight=self._count_in_flight,
         )
-        respond = make_answer(routing)
+        respond = make_request_handler(router_context)
 
         async def _async_serve(sock: socket.socket) -> None:
             await async_serve_requests(sock, respond, refuse_unreadable)
@@ -150,34 +154,36 @@
     @contextmanager
     def _count_in_flight(self) -> Iterator[None]:
         self.in_flight += 1
-        self.parts.metrics.in_flight.set(self.in_flight)
+        self.components.metrics.in_flight.set(self.in_flight)
         try:
             yield
         finally:
             self.in_flight -= 1
-            self.parts.metrics.in_flight.set(self.in_flight)
+            self.components.metrics.in_flight.set(self.in_flight)
 
     async def _async_start_tasks(self) -> None:
-        parts = self.parts
+        components = self.components
         forever = [
             async_follow(
-                parts.platform,
+                components.platform,
                 KEY_CONFIGURATION,
-                parts.follower.async_note,
-                role=ROLE,
+                components.follower.async_note,
+                role=CONFIGURATION_ROLE,
+            ),
+            components.follower.async_fetch_hinted(
+                components.snapshots.async_fetch_from_peer,
             ),
-            parts.follower.async_fetch_hinted(
-                parts.snapshots.async_take_from_peer,
+            components.snapshots.async_fetch_from_seeds(
+                components.settings.seed_peers
             ),
-            parts.snapshots.async_seed(parts.settings.seed_peers),
-            parts.presence.async_follow_statuses(),
-            parts.presence.async_poll_list(),
-            parts.scheduler.async_sweep(),
-            parts.grants.watch.async_run(),
+            components.membership_sync.async_follow_statuses(),
+            components.membership_sync.async_poll_instance_list(),
+            components.scheduler.async_refuse_expired(),
+            components.grants.owner_watch.async_run(),
         ]
-        if parts.settings.policy == 'least_reported_load':
-            forever.append(parts.reports.async_poll())
-        forever.append(parts.presence.async_publish())
+        if components.settings.policy == 'least_reported_load':
+            forever.append(components.reports.async_poll())
+        forever.append(components.membership_sync.async_publish())
         for coroutine in forever:
             await self._async_spawn_task(coroutine)
 
@@ -185,7 +191,7 @@
         self._tasks.append(await spawn(work, daemon=True))
 
     def _pending(self) -> int:
-        return self.in_flight + self.parts.background.pending
+        return self.in_flight + self.components.background.pending
 
     async def _async_drain(self, deadline_ms: float) -> None:
         idle_polls = 0
@@ -199,6 +205,6 @@
 
     :raises OSError: if an address can't be bound.
     """
-    instance = Instance(Parts.from_settings(settings))
+    instance = Instance(InstanceComponents.from_settings(settings))
     await instance.async_start()
     return instance
--- a/hornbeamdeck/process/store_entry.py
+++ b/hornbeamdeck/process/instance_registration.py
@@ -6,13 +6,13 @@
 from curio import sleep
 from result import Err
 
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.const import MILLIS_PER_SECOND, PREFIX_INSTANCE
 from hornbeamdeck.process.backoff import backoff_s
 from hornbeamdeck.process.membership import Membership
-from hornbeamdeck.process.store_access import StoreAccess
+from hornbeamdeck.process.store_interface import StoreInterface
 
-__all__ = ('StoreEntry',)
+__all__ = ('InstanceRegistration',)
 
 _LOGGER = structlog.get_logger(prefix='entry')
 
@@ -21,10 +21,10 @@
 SECOND_LISTING_DELAY_MS: Final = 2000
 
 
-class StoreEntry:
+class InstanceRegistration:
     """Writes this instance's entry and reads those of other instances."""
 
-    def __init__(self, store: StoreAccess, membership: Membership) -> None:
+    def __init__(self, store: StoreInterface, membership: Membership) -> None:
         """Create the entry; nothing is written yet.
 
         :param membership: provides this instance's status and is updated with
@@ -33,25 +33,27 @@
         self._store = store
         self._membership = membership
 
-    async def async_publish(self) -> None:
+    async def async_register(self) -> None:
         """Write this instance's entry; retries until the write succeeds."""
         waits = backoff_s()
         while True:
-            written = await self._store.publish(self._membership.own)
+            written = await self._store.write_status(
+                self._membership.own_status
+            )
             if not isinstance(written, Err):
                 return
             await sleep(next(waits))
 
-    async def async_withdraw(self) -> None:
+    async def async_deregister(self) -> None:
         """Delete this instance's entry."""
-        deleted = await self._store.withdraw(self._membership.own)
+        deleted = await self._store.delete_status(self._membership.own_status)
         if isinstance(deleted, Err):
             _LOGGER.warning(
                 "could not delete this instance's entry in the store",
                 cause=deleted.err_value.cause,
             )
 
-    async def async_list(self) -> None:
+    async def async_discover(self) -> None:
         """Read the entries of all instances twice, with a delay between."""
         await self._async_list_once()
         await sleep(SECOND_LISTING_DELAY_MS / MILLIS_PER_SECOND)
@@ -67,4 +69,4 @@
             if self._membership.status_of(status.instance_id) is None:
                 key = f'{PREFIX_INSTANCE}{status.instance_id}'
                 change = StoredObject(key, 0, status.to_text())
-                self._membership.note_status(change)
+                self._membership.apply_status(change)
--- a/hornbeamdeck/process/presence.py
+++ b/hornbeamdeck/process/membership_sync.py
@@ -5,7 +5,7 @@
 from curio import sleep
 from result import Err
 
-from hornbeamdeck.connection.platform import PlatformClient, StoredObject
+from hornbeamdeck.connection.store_client import PlatformClient, StoredObject
 from hornbeamdeck.const import MILLIS_PER_SECOND, PREFIX_INSTANCE
 from hornbeamdeck.process.backoff import backoff_s
 from hornbeamdeck.process.follower import async_follow
@@ -13,13 +13,13 @@
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.process.scheduler import Scheduler
 
-__all__ = ('Presence',)
+__all__ = ('MembershipSync',)
 
-LIST_PERIOD_MS: Final = 2000
+LIST_POLL_INTERVAL_MS: Final = 2000
 ROLE: Final = 'membership'
 
 
-class Presence:
+class MembershipSync:
     """Synchronizes the membership with the store and the instance list."""
 
     def __init__(
@@ -29,7 +29,7 @@
         scheduler: Scheduler,
         grants: Grants,
     ) -> None:
-        """Use the parts that depend on the membership."""
+        """Use the components that depend on the membership."""
         self._platform = platform
         self._membership = membership
         self._scheduler = scheduler
@@ -42,10 +42,10 @@
         call of its own.
         """
         waits = backoff_s()
-        status = self._membership.own
-        while status == self._membership.own:
+        status = self._membership.own_status
+        while status == self._membership.own_status:
             if await self._async_try_write(status):
-                self._membership.note_published()
+                self._membership.mark_published()
                 return
             await sleep(next(waits))
 
@@ -58,7 +58,7 @@
             role=ROLE,
         )
 
-    async def async_poll_list(self) -> None:
+    async def async_poll_instance_list(self) -> None:
         """Read the platform's list of live and draining addresses, forever."""
         waits = backoff_s()
         while True:
@@ -69,12 +69,12 @@
                 await sleep(next(waits))
                 continue
             waits = backoff_s()
-            self._membership.note_listed(listed.ok_value)
-            self._scheduler.note_leaving(
-                self._membership.leaving_addresses(),
+            self._membership.apply_instance_list(listed.ok_value)
+            self._scheduler.update_draining(
+                self._membership.draining_addresses(),
             )
-            await self._grants.async_review()
-            await sleep(LIST_PERIOD_MS / MILLIS_PER_SECOND)
+            await self._grants.async_move_to_current_owners()
+            await sleep(LIST_POLL_INTERVAL_MS / MILLIS_PER_SECOND)
 
     async def _async_try_write(self, status: InstanceStatus) -> bool:
         key = f'{PREFIX_INSTANCE}{status.instance_id}'
@@ -90,5 +90,5 @@
         return not isinstance(written, Err)
 
     async def _async_apply_status(self, change: StoredObject) -> None:
-        self._membership.note_status(change)
-        await self._grants.async_review()
+        self._membership.apply_status(change)
+        await self._grants.async_move_to_current_owners()
--- a/hornbeamdeck/process/held_suspects.py
+++ b/hornbeamdeck/process/poison_reports.py
@@ -11,7 +11,7 @@
 from hornbeamdeck.process.owner_link import OwnerLink
 from hornbeamdeck.wire import Suspect
 
-__all__ = ('HeldSuspects',)
+__all__ = ('PoisonReports',)
 
 MAX_SUSPECTS: Final = 1000
 
@@ -21,35 +21,35 @@
     owner: str
 
 
-class HeldSuspects:
+class PoisonReports:
     """Suspected requests by fingerprint, each with the owner that has it."""
 
     def __init__(self, membership: Membership, link: OwnerLink) -> None:
         """Start without suspected requests."""
         self._membership = membership
         self._link = link
-        self._suspects: dict[str, _ReportedSuspect] = {}
+        self._reports: dict[str, _ReportedSuspect] = {}
 
-    def note(self, owner: str, suspect: Suspect) -> None:
+    def record(self, owner: str, suspect: Suspect) -> None:
         """Record a suspected request that an owner reports."""
-        self._suspects.pop(suspect.fingerprint, None)
-        self._suspects[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
-        if len(self._suspects) > MAX_SUSPECTS:
-            self._suspects.pop(next(iter(self._suspects)))
+        self._reports.pop(suspect.fingerprint, None)
+        self._reports[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
+        if len(self._reports) > MAX_SUSPECTS:
+            self._reports.pop(next(iter(self._reports)))
 
     def owners(self) -> set[str]:
         """Return the owners that have any of these suspected requests."""
-        return {each.owner for each in self._suspects.values()}
+        return {each.owner for each in self._reports.values()}
 
-    async def async_move(self, owner: str) -> None:
+    async def async_move_to_successor(self, owner: str) -> None:
         """Report an owner's suspected requests to its successors."""
         reported = [
-            each for each in self._suspects.values() if each.owner == owner
+            each for each in self._reports.values() if each.owner == owner
         ]
         for suspect, _ in reported:
             successor = self._membership.owner_of(suspect.cell)
             if successor != owner:
-                self._suspects[suspect.fingerprint] = _ReportedSuspect(
+                self._reports[suspect.fingerprint] = _ReportedSuspect(
                     suspect, successor
                 )
                 await self._link.async_send(successor, suspect)
--- a/hornbeamdeck/process/told.py
+++ b/hornbeamdeck/process/sent_updates.py
@@ -5,12 +5,12 @@
 
 from hornbeamdeck.process.membership import Membership
 
-__all__ = ('TELL_AGAIN_MS', 'Told')
+__all__ = ('STATUS_RESEND_MS', 'SentUpdates')
 
 # How often an unchanged status object is sent again to a peer: with each eighth
 # heartbeat, which costs little. A status that was lost is missing for no longer
 # than callers cache the response to an addresses request.
-TELL_AGAIN_MS: Final = 2000
+STATUS_RESEND_MS: Final = 2000
 
 
 class _SentStatus(NamedTuple):
@@ -33,7 +33,7 @@
 _EMPTY: Final = _StatusSet(-1, frozenset())
 
 
-class Told:
+class SentUpdates:
     """Determines for each peer what has not yet been sent to it."""
 
     def __init__(
@@ -52,41 +52,41 @@
         self._sent_live_ids: dict[str, frozenset[str]] = {}
         self._sent_own_status: dict[str, _SentStatus] = {}
 
-    def forget(self, peer_id: str) -> None:
-        """Forget what was sent to a peer, so that all is sent again."""
+    def drop(self, peer_id: str) -> None:
+        """Drop the record of what a peer was sent, so that all is resent."""
         self._sent_statuses.pop(peer_id, None)
         self._sent_live_ids.pop(peer_id, None)
         self._sent_own_status.pop(peer_id, None)
 
-    def untold_statuses(self, peer_id: str) -> list[str]:
+    def unsent_statuses(self, peer_id: str) -> list[str]:
         """Return status objects of other instances not yet sent to a peer."""
-        changes = self._membership.changes
+        changes = self._membership.change_count
         sent = self._sent_statuses.get(peer_id, _EMPTY)
         if sent.changes == changes:
             return []
         if self._statuses.changes != changes:
-            texts = (each.to_text() for each in self._membership.known())
+            texts = (each.to_text() for each in self._membership.known_peers())
             self._statuses = _StatusSet(changes, frozenset(texts))
         self._sent_statuses[peer_id] = self._statuses
         return sorted(self._statuses.statuses - sent.statuses)
 
-    def untold_status(self, peer_id: str, now: float) -> str:
+    def unsent_own_status(self, peer_id: str, now: float) -> str:
         """Return this instance's status object if it is due to be sent.
 
         The status object takes up half of a heartbeat's bytes and hardly ever
         changes. A heartbeat may be lost with its connection, so the status is
-        sent again after `TELL_AGAIN_MS`.
+        sent again after `STATUS_RESEND_MS`.
 
         :returns: an empty string if the peer needs no status now.
         """
-        text = self._membership.own.to_text()
+        text = self._membership.own_status.to_text()
         sent = self._sent_own_status.get(peer_id)
-        if sent and sent.text == text and now - sent.sent_ms < TELL_AGAIN_MS:
+        if sent and sent.text == text and now - sent.sent_ms < STATUS_RESEND_MS:
             return ''
         self._sent_own_status[peer_id] = _SentStatus(text, now)
         return text
 
-    def untold_present(self, peer_id: str) -> list[str] | None:
+    def unsent_live_ids(self, peer_id: str) -> list[str] | None:
         """Return the live instances, `None` if unchanged for a peer."""
         live_ids = frozenset(self._live_ids())
         if self._sent_live_ids.get(peer_id) == live_ids:
--- a/hornbeamdeck/process/store_access.py
+++ b/hornbeamdeck/process/store_interface.py
@@ -5,7 +5,7 @@
 
 from result import Result
 
-from hornbeamdeck.connection.platform import PlatformDown, WatchGap
+from hornbeamdeck.connection.store_client import StoreUnavailable, WatchGap
 from hornbeamdeck.process.engine_directory import Engine
 from hornbeamdeck.process.membership import InstanceStatus
 
@@ -14,7 +14,7 @@
     'EngineChange',
     'EnginesRead',
     'ReadConfiguration',
-    'StoreAccess',
+    'StoreInterface',
 )
 
 
@@ -44,46 +44,46 @@
 class EnginesRead(NamedTuple):
     """The result of listing all engines, or of watching for changes.
 
-    :param at: the store's revision at the time of the read.
+    :param revision: the store's revision at the time of the read.
     """
 
-    at: int
+    revision: int
     changes: tuple[EngineChange, ...]
 
 
 ReadConfiguration: TypeAlias = Callable[
     [],
-    Awaitable[Result[ConfigurationRead, PlatformDown]],
+    Awaitable[Result[ConfigurationRead, StoreUnavailable]],
 ]
 WatchConfiguration: TypeAlias = Callable[
     [int, int],
-    Awaitable[Result[ConfigurationRead, PlatformDown | WatchGap]],
+    Awaitable[Result[ConfigurationRead, StoreUnavailable | WatchGap]],
 ]
 ListEngines: TypeAlias = Callable[
     [],
-    Awaitable[Result[EnginesRead, PlatformDown]],
+    Awaitable[Result[EnginesRead, StoreUnavailable]],
 ]
 WatchEngines: TypeAlias = Callable[
     [int, int],
-    Awaitable[Result[EnginesRead, PlatformDown | WatchGap]],
+    Awaitable[Result[EnginesRead, StoreUnavailable | WatchGap]],
 ]
 ListInstances: TypeAlias = Callable[
     [],
-    Awaitable[Result[tuple[InstanceStatus, ...], PlatformDown]],
+    Awaitable[Result[tuple[InstanceStatus, ...], StoreUnavailable]],
 ]
 Publish: TypeAlias = Callable[
     [InstanceStatus],
-    Awaitable[Result[None, PlatformDown]],
+    Awaitable[Result[None, StoreUnavailable]],
 ]
 
 
-class StoreAccess(NamedTuple):
+class StoreInterface(NamedTuple):
     """The calls to the store, as functions.
 
     :param watch_configuration: takes a revision and the longest wait, ms.
     :param watch_engines: takes the same arguments.
-    :param publish: writes this instance's status and overwrites an old one.
-    :param withdraw: deletes this instance's status.
+    :param write_status: writes this instance's status; overwrites an old one.
+    :param delete_status: deletes this instance's status.
     """
 
     read_configuration: ReadConfiguration
@@ -91,5 +91,5 @@
     list_engines: ListEngines
     watch_engines: WatchEngines
     list_instances: ListInstances
-    publish: Publish
-    withdraw: Publish
+    write_status: Publish
+    delete_status: Publish
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -15,25 +15,25 @@
 from result import Err
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.connection.platform import PlatformDown, StoredObject
+from hornbeamdeck.connection.store_client import StoredObject, StoreUnavailable
 from hornbeamdeck.const import KEY_CONFIGURATION, MILLIS_PER_SECOND
-from hornbeamdeck.process.attendance import INFORMED
-from hornbeamdeck.process.engine_book import EngineBook
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
-from hornbeamdeck.process.store_access import (
+from hornbeamdeck.process.liveness import HEARTBEAT_RECEIVERS
+from hornbeamdeck.process.store_engine_list import StoreEngineList
+from hornbeamdeck.process.store_interface import (
     ConfigurationRead,
     EnginesRead,
-    StoreAccess,
+    StoreInterface,
 )
 
-__all__ = ('ReaderParts', 'StoreReader')
+__all__ = ('StoreReaderDependencies', 'StoreReader')
 
 _LOGGER = structlog.get_logger(prefix='store')
 
 # How long the store may hold a watch open. A store that does not respond is
 # detected a little later.
-WATCH_MS: Final = 500
+WATCH_TIMEOUT_MS: Final = 500
 # Engines that start at the same time write their entries one after another.
 # Waiting before the next watch collects several changes in one response. There
 # is no wait after a watch that ended without changes; with it, the list would
@@ -60,35 +60,35 @@
 RETRY_MS: Final = 300
 
 
-class ReaderParts(NamedTuple):
+class StoreReaderDependencies(NamedTuple):
     """Dependencies and callbacks of the reader.
 
     :param rank: returns this process's rank; the owner has rank 0.
     :param is_owner: whether this process owns the fleet's cells now.
-    :param is_owner_lost: whether the owner can't reach the store.
+    :param has_owner_lost_store: whether the owner can't reach the store.
     :param version: returns the version of this process's configuration.
     :param on_document: called with each document that was read.
-    :param on_engines: called when the list of engines has changed.
+    :param on_engines_changed: called when the list of engines has changed.
     """
 
-    access: StoreAccess
+    access: StoreInterface
     freshness: Freshness
     directory: EngineDirectory
     rank: Callable[[], int]
     is_owner: Callable[[], bool]
-    is_owner_lost: Callable[[], bool]
+    has_owner_lost_store: Callable[[], bool]
     version: Callable[[], int]
     on_document: Callable[[StoredObject], Awaitable[None]]
-    on_engines: Callable[[], None]
+    on_engines_changed: Callable[[], None]
 
 
 class StoreReader:
     """Reads the store for this process and, through heartbeats, for others."""
 
-    def __init__(self, parts: ReaderParts) -> None:
+    def __init__(self, dependencies: StoreReaderDependencies) -> None:
         """Create the reader; reading starts with the `async_follow` methods."""
-        self._parts = parts
-        self._registry = EngineBook()
+        self._dependencies = dependencies
+        self._registry = StoreEngineList()
         self._engines_revision = 0
         self._has_engines_read_failed = False
         self.is_store_reached = True
@@ -103,7 +103,7 @@
                 is_watching = False
                 await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
                 continue
-            if is_watching and self._parts.is_owner():
+            if is_watching and self._dependencies.is_owner():
                 is_watching = await self._async_watch_configuration()
             else:
                 is_watching = await self.async_read_configuration()
@@ -118,7 +118,7 @@
         """Keep the list of engines current; never returns."""
         revision = 0
         while True:
-            age_ms = self._parts.directory.age_ms(now_ms())
+            age_ms = self._dependencies.directory.age_ms(now_ms())
             if not self._is_due(age_ms, ENGINES_MAX_AGE_MS):
                 revision = 0
                 await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
@@ -127,7 +127,7 @@
             revision = await self._async_read_engines(revision)
             if not revision:
                 await sleep(self._retry_ms() / MILLIS_PER_SECOND)
-            elif now_ms() - requested_ms < WATCH_MS:
+            elif now_ms() - requested_ms < WATCH_TIMEOUT_MS:
                 await sleep(ENGINES_WATCH_GAP_MS / MILLIS_PER_SECOND)
 
     async def async_read_configuration(self) -> bool:
@@ -136,7 +136,7 @@
         :returns: whether the store returned a document.
         """
         requested_ms = now_ms()
-        response = await self._parts.access.read_configuration()
+        response = await self._dependencies.access.read_configuration()
         if isinstance(response, Err):
             self._record_failure('configuration', response.err_value)
             return False
@@ -153,18 +153,18 @@
 
     async def _async_watch_configuration(self) -> bool:
         requested_ms = now_ms()
-        version = self._parts.version()
-        response = await self._parts.access.watch_configuration(
-            version, WATCH_MS
+        version = self._dependencies.version()
+        response = await self._dependencies.access.watch_configuration(
+            version, WATCH_TIMEOUT_MS
         )
         if isinstance(response, Err):
-            if isinstance(response.err_value, PlatformDown):
+            if isinstance(response.err_value, StoreUnavailable):
                 self._record_failure('configuration', response.err_value)
             return False
         read = response.ok_value
         if read.document is None:
             # The store held no newer version when the request was sent.
-            self._parts.freshness.confirm(version, requested_ms)
+            self._dependencies.freshness.confirm(version, requested_ms)
             return True
         await self._async_apply_configuration(read, requested_ms)
         return True
@@ -175,18 +175,18 @@
         if read.document is None:
             return
         stored = StoredObject(KEY_CONFIGURATION, read.revision, read.document)
-        await self._parts.on_document(stored)
-        self._parts.freshness.confirm(read.revision, requested_ms)
+        await self._dependencies.on_document(stored)
+        self._dependencies.freshness.confirm(read.revision, requested_ms)
 
     async def _async_read_engines(self, revision: int) -> int:
         requested_ms = now_ms()
-        access = self._parts.access
+        access = self._dependencies.access
         if revision:
-            response = await access.watch_engines(revision, WATCH_MS)
+            response = await access.watch_engines(revision, WATCH_TIMEOUT_MS)
         else:
             response = await access.list_engines()
         if isinstance(response, Err):
-            if isinstance(response.err_value, PlatformDown):
+            if isinstance(response.err_value, StoreUnavailable):
                 self._has_engines_read_failed = True
                 self._record_failure('engines', response.err_value)
             return 0
@@ -194,7 +194,7 @@
         self._apply_engines(
             response.ok_value, requested_ms, is_complete=not revision
         )
-        return response.ok_value.at
+        return response.ok_value.revision
 
     def _apply_engines(
         self,
@@ -203,13 +203,13 @@
         *,
         is_complete: bool,
     ) -> None:
-        directory = self._parts.directory
+        directory = self._dependencies.directory
         now = now_ms()
-        if read.at < self._engines_revision:
+        if read.revision < self._engines_revision:
             # This read is older than the last one that was applied.
-            directory.confirm_revision(read.at, requested_ms)
+            directory.confirm_revision(read.revision, requested_ms)
             return
-        self._engines_revision = read.at
+        self._engines_revision = read.revision
         if is_complete:
             self._registry.apply_list(
                 read.changes,
@@ -225,9 +225,9 @@
         else:
             self._registry.apply_changes(read.changes, now)
         engines = self._registry.usable_engines(now)
-        version = directory.version_for_revision(read.at)
+        version = directory.version_for_revision(read.revision)
         if version is not None and engines != dict(directory.engines):
-            directory.adopt(version, engines.values())
+            directory.update(version, engines.values())
             _LOGGER.info(
                 'engines changed',
                 version=version,
@@ -235,38 +235,42 @@
                 leaving=sorted(
                     name
                     for name, engine in engines.items()
-                    if engine.is_leaving
+                    if engine.is_draining
                 ),
             )
-            self._parts.on_engines()
-        directory.confirm_revision(read.at, requested_ms)
+            self._dependencies.on_engines_changed()
+        directory.confirm_revision(read.revision, requested_ms)
 
     def _is_due(self, age_ms: float, max_age_ms: float) -> bool:
-        parts = self._parts
-        if parts.is_owner():
+        dependencies = self._dependencies
+        if dependencies.is_owner():
             return True
-        wait_ms = min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
-        if parts.is_owner_lost():
+        wait_ms = min(dependencies.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
+        if dependencies.has_owner_lost_store():
             max_age_ms = OWNER_LOST_MAX_AGE_MS
         return age_ms > max_age_ms + wait_ms
 
     def _check_interval_ms(self) -> int:
         return (
             CHECK_INTERVAL_MS
-            if self._parts.rank() < INFORMED
+            if self._dependencies.rank() < HEARTBEAT_RECEIVERS
             else SLOW_CHECK_INTERVAL_MS
         )
 
     def _retry_ms(self) -> int:
-        parts = self._parts
-        if parts.is_owner():
+        dependencies = self._dependencies
+        if dependencies.is_owner():
             return RETRY_MS
-        return RETRY_MS + min(parts.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS)
+        return RETRY_MS + min(
+            dependencies.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS
+        )
 
     def _configuration_age(self) -> float:
-        return self._parts.freshness.age_ms(self._parts.version(), now_ms())
+        return self._dependencies.freshness.age_ms(
+            self._dependencies.version(), now_ms()
+        )
 
-    def _record_failure(self, resource: str, error: PlatformDown) -> None:
+    def _record_failure(self, resource: str, error: StoreUnavailable) -> None:
         if self.is_store_reached:
             self.is_store_reached = False
             _LOGGER.warning('store lost', reading=resource, cause=error.cause)
--- a/hornbeamdeck/request/answer.py
+++ b/hornbeamdeck/request/admitted_request.py
@@ -6,34 +6,37 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import HEADER_OUTCOME, HEADER_REQUEST_ID
 from hornbeamdeck.process.background import Background
 from hornbeamdeck.process.metrics import Metrics
-from hornbeamdeck.process.policy import Policy
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.request.admission import Admission
-from hornbeamdeck.request.once import Once, Recorded
-from hornbeamdeck.request.once_sources import OnceSources, async_take_once
+from hornbeamdeck.request.execution_right import Once, Recorded
+from hornbeamdeck.request.idempotency import (
+    IdempotencyContext,
+    async_acquire_execution_right,
+)
 from hornbeamdeck.request.outcome import (
     Failure,
     Outcome,
     Unknown,
     to_response,
 )
-from hornbeamdeck.request.placement import Placement, async_place
+from hornbeamdeck.request.placement import Placement, async_acquire_upstream
 from hornbeamdeck.request.relay import async_relay, deadline_passed_during_run
 from hornbeamdeck.version.configuration import Configuration
 
-__all__ = ('Answering', 'async_answer_admitted', 'async_fail')
+__all__ = ('AnswerContext', 'async_answer_admitted_request', 'async_fail')
 
 CLAIMED_RUN_GRACE_MS: Final = 30_000
 
 _LOGGER = structlog.get_logger(prefix='request')
 
 
-class Answering(NamedTuple):
+class AnswerContext(NamedTuple):
     """Dependencies for answering a request.
 
     :param configuration: the version that admitted the request.
@@ -41,13 +44,13 @@
 
     configuration: Configuration
     policy: Policy
-    once: OnceSources
+    execution_rights: IdempotencyContext
     metrics: Metrics
     background: Background
 
 
-async def async_answer_admitted(
-    parts: Answering,
+async def async_answer_admitted_request(
+    context: AnswerContext,
     admission: Admission,
     caller: ServerConnection,
 ) -> None:
@@ -56,20 +59,22 @@
     However it ends, the caller gets exactly one final response, or its
     connection is broken.
     """
-    if admission.may_repeat:
-        await _async_run(parts, admission, None, caller)
+    if admission.is_repeatable:
+        await _async_run(context, admission, None, caller)
         return
-    claimed = await async_take_once(parts.once, admission)
+    claimed = await async_acquire_execution_right(
+        context.execution_rights, admission
+    )
     if isinstance(claimed, Err):
-        await async_fail(parts.metrics, admission, claimed.err_value, caller)
+        await async_fail(context.metrics, admission, claimed.err_value, caller)
         return
     match claimed.ok_value:
-        case Once() as once:
-            await _async_run(parts, admission, once, caller)
+        case Once() as execution_right:
+            await _async_run(context, admission, execution_right, caller)
         case Recorded() as recorded:
-            await _async_replay(parts, admission, recorded, caller)
+            await _async_replay(context, admission, recorded, caller)
         case HttpResponse() as forwarded:
-            parts.metrics.count(*_metric_labels(admission), 'forwarded')
+            context.metrics.count(*_metric_labels(admission), 'forwarded')
             await caller.async_respond(forwarded)
 
 
@@ -78,54 +83,54 @@
 
 
 async def _async_run(
-    parts: Answering,
+    context: AnswerContext,
     admission: Admission,
-    once: Once | None,
+    execution_right: Once | None,
     caller: ServerConnection,
 ) -> None:
     placed = None
     try:
-        placed = await async_place(
+        placed = await async_acquire_upstream(
             admission,
-            parts.configuration,
-            parts.policy,
+            context.configuration,
+            context.policy,
         )
     finally:
         # This also runs if the request is refused, or if its caller
         # disconnects while it is queued.
-        if once is not None and not isinstance(placed, Ok):
-            await once.release()
+        if execution_right is not None and not isinstance(placed, Ok):
+            await execution_right.release()
     if isinstance(placed, Err):
-        await async_fail(parts.metrics, admission, placed.err_value, caller)
+        await async_fail(context.metrics, admission, placed.err_value, caller)
         return
-    if once is None:
+    if execution_right is None:
         relayed = await async_relay(
             admission,
             placed.ok_value,
-            parts.policy,
+            context.policy,
             caller,
             limit_ms=admission.left_ms,
         )
     else:
         relayed = await _async_run_claimed(
-            parts,
+            context,
             admission,
             placed.ok_value,
-            once,
+            execution_right,
         )
     if isinstance(relayed, Err):
-        await async_fail(parts.metrics, admission, relayed.err_value, caller)
+        await async_fail(context.metrics, admission, relayed.err_value, caller)
         return
-    parts.metrics.count(*_metric_labels(admission), 'ran')
-    if not caller.has_started:
+    context.metrics.count(*_metric_labels(admission), 'ran')
+    if not caller.has_response_started:
         await caller.async_respond(relayed.ok_value)
 
 
 async def _async_run_claimed(
-    parts: Answering,
+    context: AnswerContext,
     admission: Admission,
     placement: Placement,
-    once: Once,
+    execution_right: Once,
 ) -> Result[HttpResponse, Unknown]:
     """Run a non-idempotent call to its end, even if its caller disconnects.
 
@@ -139,17 +144,17 @@
         relayed = await async_relay(
             admission,
             placement,
-            parts.policy,
+            context.policy,
             None,
             limit_ms=admission.left_ms + CLAIMED_RUN_GRACE_MS,
         )
         if not isinstance(relayed, Err):
-            await once.record(relayed.ok_value)
+            await execution_right.record(relayed.ok_value)
         return relayed
 
-    work = await parts.background.async_spawn(_async_run_and_record())
+    work = await context.background.async_spawn(_async_run_and_record())
     try:
-        relayed: Result[HttpResponse, Unknown] = await async_within(
+        relayed: Result[HttpResponse, Unknown] = await async_with_timeout(
             admission.left_ms,
             work.join(),
         )
@@ -172,21 +177,21 @@
         code=failure.code,
         outcome=failure.outcome.value,
     )
-    if caller.has_started:
+    if caller.has_response_started:
         # Part of a response has been sent, so only a broken connection can
         # still signal the failure.
-        caller.abort()
+        caller.reset_on_close()
         return
     await caller.async_respond(to_response(failure, admission.request_id))
 
 
 async def _async_replay(
-    parts: Answering,
+    context: AnswerContext,
     admission: Admission,
     recorded: Recorded,
     caller: ServerConnection,
 ) -> None:
-    parts.metrics.count(*_metric_labels(admission), 'replay')
+    context.metrics.count(*_metric_labels(admission), 'replay')
     response = recorded.response
     headers = {
         **response.headers,
--- a/hornbeamdeck/request/pages.py
+++ b/hornbeamdeck/request/endpoints.py
@@ -12,13 +12,13 @@
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.const import ENCODING
 from hornbeamdeck.process.membership import Membership
-from hornbeamdeck.request.admission import identify
-from hornbeamdeck.request.answer import Answering
-from hornbeamdeck.request.once_sources import issue_for
+from hornbeamdeck.request.admission import authenticate_team
+from hornbeamdeck.request.admitted_request import AnswerContext
+from hornbeamdeck.request.idempotency import issue_key_for_team
 from hornbeamdeck.request.outcome import NotRun, to_response
 from hornbeamdeck.version.entities import Team
 
-__all__ = ('Routing', 'own_page')
+__all__ = ('RouterContext', 'answer_own_endpoint')
 
 MAX_ENTRIES: Final = 3
 MODEL_FIELDS: Final[Mapping[str, object]] = MappingProxyType(
@@ -27,53 +27,55 @@
 METRICS_TYPE: Final = 'text/plain; version=0.0.4; charset=utf-8'
 
 
-class Routing(NamedTuple):
+class RouterContext(NamedTuple):
     """Dependencies of the router.
 
-    :param answering: returns the dependencies for answering a request, with
-        the configuration in force now.
-    :param is_leaving: whether a graceful shutdown has begun.
-    :param in_flight: counts a request while it is being answered.
+    :param make_answer_context: returns the dependencies for answering a
+        request, with the configuration in force now.
+    :param is_draining: whether a graceful shutdown has begun.
+    :param track_in_flight: counts a request while it is being answered.
     """
 
-    answering: Callable[[], Answering]
+    make_answer_context: Callable[[], AnswerContext]
     membership: Membership
     entries_ttl_ms: int
-    is_leaving: Callable[[], bool]
-    in_flight: Callable[[], AbstractContextManager[None]]
+    is_draining: Callable[[], bool]
+    track_in_flight: Callable[[], AbstractContextManager[None]]
 
 
 TeamEndpoint: TypeAlias = Callable[
-    [Routing, Answering, Team, str], HttpResponse
+    [RouterContext, AnswerContext, Team, str], HttpResponse
 ]
 
 
-def own_page(
-    routing: Routing,
-    parts: Answering,
+def answer_own_endpoint(
+    routing: RouterContext,
+    context: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> HttpResponse:
     """Answer a request whose path is not forwarded to an upstream."""
     match request.path:
         case '/healthz':
-            return _health(routing, parts)
+            return _health(routing, context)
         case '/metrics':
             headers = {'content-type': METRICS_TYPE}
-            return HttpResponse(HTTPStatus.OK, headers, parts.metrics.render())
+            return HttpResponse(
+                HTTPStatus.OK, headers, context.metrics.render()
+            )
     endpoint = _TEAM_ENDPOINTS.get(request.path)
     if endpoint is None:
         refusal = NotRun(HTTPStatus.NOT_FOUND, 'no_such_path', 'no such path')
         return to_response(refusal, request_id)
-    team = identify(parts.configuration, request.headers)
+    team = authenticate_team(context.configuration, request.headers)
     if isinstance(team, Err):
         return to_response(team.err_value, request_id)
-    return endpoint(routing, parts, team.ok_value, request_id)
+    return endpoint(routing, context, team.ok_value, request_id)
 
 
-def _health(routing: Routing, parts: Answering) -> HttpResponse:
-    version = parts.configuration.version
-    if routing.is_leaving():
+def _health(routing: RouterContext, context: AnswerContext) -> HttpResponse:
+    version = context.configuration.version
+    if routing.is_draining():
         return _json_response(
             HTTPStatus.SERVICE_UNAVAILABLE, {'state': 'leaving'}
         )
@@ -85,12 +87,12 @@
 
 
 def _entries(
-    routing: Routing,
-    _parts: Answering,
+    routing: RouterContext,
+    _parts: AnswerContext,
     _team: Team,
     request_id: str,
 ) -> HttpResponse:
-    chosen = routing.membership.entries(request_id, MAX_ENTRIES)
+    chosen = routing.membership.entries_for(request_id, MAX_ENTRIES)
     entries = [
         {
             'address': str(status.address),
@@ -105,12 +107,12 @@
 
 
 def _issue_idempotency_key(
-    routing: Routing,
-    parts: Answering,
+    routing: RouterContext,
+    context: AnswerContext,
     team: Team,
     request_id: str,
 ) -> HttpResponse:
-    if routing.is_leaving():
+    if routing.is_draining():
         # The records of issued keys are in this process's memory and are lost
         # when it stops.
         refusal = NotRun(
@@ -119,20 +121,20 @@
             'this instance is leaving; ask another',
         )
         return to_response(refusal, request_id)
-    key = issue_for(parts.once, team.name)
+    key = issue_key_for_team(context.execution_rights, team.name)
     return _json_response(HTTPStatus.CREATED, {'idempotency_key': key})
 
 
 def _models(
-    _routing: Routing,
-    parts: Answering,
+    _routing: RouterContext,
+    context: AnswerContext,
     team: Team,
     _request_id: str,
 ) -> HttpResponse:
     models = [
         {**MODEL_FIELDS, 'id': name}
         for name in team.services
-        if parts.configuration.services[name].is_model
+        if context.configuration.services[name].is_model
     ]
     return _json_response(HTTPStatus.OK, {'object': 'list', 'data': models})
 
--- a/hornbeamdeck/request/routed_call.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -8,20 +8,20 @@
 from curio.errors import TaskTimeout
 from result import Err, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.errors import ConnectionBroken
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import ENCODING
-from hornbeamdeck.request.engine_link import EngineLink
-from hornbeamdeck.request.event_feed import Event, EventFeed
-from hornbeamdeck.request.routed_admission import RoutedAdmission
-from hornbeamdeck.request.routed_ask import Dispatch, Verdict
-from hornbeamdeck.request.routed_edge import Edge
+from hornbeamdeck.request.engine_connection import EngineConnection
+from hornbeamdeck.request.event_parser import Event, EventParser
+from hornbeamdeck.request.gateway_admission import GatewayAdmission
+from hornbeamdeck.request.gateway_handler import GatewayContext
+from hornbeamdeck.request.gateway_request import EngineAttempt, ResponseVerdict
 from hornbeamdeck.wire import Grant, RunEnd
 
-__all__ = ('EngineCall',)
+__all__ = ('EngineAttempts',)
 
 # If a request may be sent to another engine, a silent engine is abandoned after
 # this many times the objective. A stream that may be resumed is abandoned after
@@ -33,13 +33,13 @@
 _Read = TypeVar('_Read')
 
 
-class EngineCall:
+class EngineAttempts:
     """Sends one request to engines, one after another."""
 
     def __init__(
         self,
-        edge: Edge,
-        admission: RoutedAdmission,
+        context: GatewayContext,
+        admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
         """Initialize; nothing has been sent yet."""
@@ -48,21 +48,21 @@
         self.first_ms = 0.0
         self.begun_ms = 0.0
         self.longest_gap_ms = 0.0
-        self.is_sent = False
-        self.last_event_id = admission.ask.last_event
-        self._edge = edge
+        self.is_possibly_executing = False
+        self.last_event_id = admission.request.last_event_id
+        self._context = context
         self._admission = admission
         self._caller = caller
         self._last_event_ms = 0.0
-        self._link = EngineLink(
-            edge.connections,
-            may_repeat=admission.route.may_repeat,
+        self._engine_connection = EngineConnection(
+            context.connection_pool,
+            is_repeatable=admission.route.is_repeatable,
         )
 
     @property
     def fingerprint(self) -> str:
         """Digest of the request, which stays the same when it is resent."""
-        request = self._admission.ask.request
+        request = self._admission.request.http_request
         digest = hashlib.sha256()
         for part in (request.path, request.query, self._admission.team_name):
             digest.update(f'{part}\x00'.encode(ENCODING))
@@ -75,7 +75,7 @@
         :returns: how the attempt ended; a complete response that is not a
             stream is left in `response`.
         """
-        opened = await self._link.async_open(grant)
+        opened = await self._engine_connection.async_open(grant)
         if isinstance(opened, Err):
             self.cause = opened.err_value.cause
             return RunEnd.NOT_DISPATCHED
@@ -86,7 +86,7 @@
         if isinstance(head, Err):
             self.cause = head.err_value.cause
             return RunEnd.FAILED
-        self._link.record_keep_alive(head.ok_value)
+        self._engine_connection.record_keep_alive(head.ok_value)
         return await self._async_relay(head.ok_value, sent_ms)
 
     async def async_close(self, end: RunEnd) -> None:
@@ -94,7 +94,7 @@
 
         :param end: how the run ended.
         """
-        await self._link.async_close(end)
+        await self._engine_connection.async_close(end)
 
     async def _async_send_and_read_head(
         self,
@@ -102,16 +102,18 @@
         engine: str,
     ) -> Result[HttpResponse, ConnectionBroken]:
         admission = self._admission
-        dispatch = Dispatch(
+        attempt = EngineAttempt(
             engine=engine,
             team=admission.team_name,
             left_ms=admission.left_ms,
-            after_event=self.last_event_id,
+            last_event_id=self.last_event_id,
         )
-        request = admission.ask.request._replace(
-            headers=self._edge.dialect.to_engine(admission.ask, dispatch),
+        request = admission.request.http_request._replace(
+            headers=self._context.dialect.engine_headers(
+                admission.request, attempt
+            ),
         )
-        self.is_sent = True
+        self.is_possibly_executing = True
         sent = await connection.async_send(request)
         if isinstance(sent, Err):
             return sent
@@ -122,16 +124,18 @@
         head: HttpResponse,
         sent_ms: float,
     ) -> RunEnd:
-        match self._edge.dialect.judge(self._admission.ask, head):
-            case Verdict.NOT_RUN:
+        match self._context.dialect.classify_response(
+            self._admission.request, head
+        ):
+            case ResponseVerdict.REJECTED:
                 self.cause = f'rejected by the engine, status {head.status}'
-                self.is_sent = False
+                self.is_possibly_executing = False
                 return RunEnd.REJECTED
-            case Verdict.OTHER_ENGINE:
+            case ResponseVerdict.MISDIRECTED:
                 self.cause = 'the address belongs to another engine'
-                self.is_sent = False
+                self.is_possibly_executing = False
                 return RunEnd.MISDIRECTED
-            case Verdict.NOT_ITS_ANSWER:
+            case ResponseVerdict.INVALID_RESPONSE:
                 self.cause = (
                     f'not a valid engine response, status {head.status}'
                 )
@@ -144,7 +148,7 @@
     async def _async_read_whole(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
-        connection = self._link.connection
+        connection = self._engine_connection.connection
         if connection is None:
             return RunEnd.CANCELLED
         body = await self._async_read_with_timeout(connection.async_read_body())
@@ -153,11 +157,11 @@
             return RunEnd.FAILED
         self._record_first_byte(sent_ms)
         whole = head._replace(body=body.ok_value)
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             # A stream was to be resumed, but this response is not a stream.
             self.cause = f'not a stream, status {head.status}'
             return RunEnd.FAILED
-        self.response = self._edge.dialect.to_caller(whole)
+        self.response = self._context.dialect.caller_response(whole)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.cause = f'status {head.status}'
             return RunEnd.ERRORED
@@ -166,27 +170,27 @@
     async def _async_relay_stream(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
-        feed = EventFeed()
-        connection = self._link.connection
+        parser = EventParser()
+        connection = self._engine_connection.connection
         end: RunEnd | None = None
         while connection is not None and end is None:
-            piece = await self._async_read_with_timeout(
-                connection.async_read_piece()
+            chunk = await self._async_read_with_timeout(
+                connection.async_read_chunk()
             )
-            if isinstance(piece, Err):
-                self.cause = piece.err_value.cause
+            if isinstance(chunk, Err):
+                self.cause = chunk.err_value.cause
                 return RunEnd.FAILED
-            if not piece.ok_value:
-                return await self._async_end_stream(feed)
-            events = feed.feed(piece.ok_value)
+            if not chunk.ok_value:
+                return await self._async_end_stream(parser)
+            events = parser.add_chunk(chunk.ok_value)
             end = await self._async_relay_events(head, events, sent_ms)
         return end or RunEnd.CANCELLED
 
-    async def _async_end_stream(self, feed: EventFeed) -> RunEnd:
-        if feed.has_partial_event or not self._caller.has_started:
+    async def _async_end_stream(self, parser: EventParser) -> RunEnd:
+        if parser.has_partial_event or not self._caller.has_response_started:
             self.cause = 'the stream ended within an event'
             return RunEnd.FAILED
-        await self._caller.async_end()
+        await self._caller.async_end_response()
         return RunEnd.ANSWERED
 
     async def _async_relay_events(
@@ -205,19 +209,21 @@
             return RunEnd.FAILED
         if not unsent:
             return None
-        if not self._caller.has_started:
-            response = self._edge.dialect.to_caller(head)
-            await self._caller.async_start(response.status, response.headers)
+        if not self._caller.has_response_started:
+            response = self._context.dialect.caller_response(head)
+            await self._caller.async_start_response(
+                response.status, response.headers
+            )
         if not self.first_ms:
             self._record_first_byte(sent_ms)
-            await self._edge.progress(
-                self._admission.ask.request_id,
+            await self._context.report_first_token(
+                self._admission.request.request_id,
                 self.first_ms,
             )
-            self._edge.metrics.first_token(self.first_ms)
+            self._context.metrics.record_first_token(self.first_ms)
         self._record_gap()
         encoded = b''.join(event.encoded for event in unsent)
-        relayed = await self._caller.async_send(encoded)
+        relayed = await self._caller.async_send_chunk(encoded)
         return RunEnd.CANCELLED if isinstance(relayed, Err) else None
 
     def _record_first_byte(self, sent_ms: float) -> None:
@@ -244,13 +250,13 @@
                 return None
             if ids_ahead == 1:
                 unsent.append(event)
-                self.last_event_id = event.name or self.last_event_id
+                self.last_event_id = event.event_id or self.last_event_id
         return unsent
 
     def _ids_ahead(self, event: Event) -> int:
         """Return how far an event is ahead of the last; 1 means the next."""
-        if event.name.isdigit() and self.last_event_id.isdigit():
-            return int(event.name) - int(self.last_event_id)
+        if event.event_id.isdigit() and self.last_event_id.isdigit():
+            return int(event.event_id) - int(self.last_event_id)
         return 1
 
     async def _async_read_with_timeout(
@@ -261,14 +267,14 @@
         if not limit_ms:
             return await reading
         try:
-            return await async_within(limit_ms, reading)
+            return await async_with_timeout(limit_ms, reading)
         except TaskTimeout:
             return Err(ConnectionBroken(f'silent for {limit_ms} ms'))
 
     def _silence_limit_ms(self) -> int:
         """Return how long an engine may be silent; 0: until the deadline."""
         route = self._admission.route
-        if not route.may_repeat:
+        if not route.is_repeatable:
             return 0
         if route.is_stream:
             waited_ms = MAX_SILENT_GAPS * route.gap_ms
--- a/hornbeamdeck/request/engine_link.py
+++ b/hornbeamdeck/request/engine_connection.py
@@ -6,12 +6,15 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
+from hornbeamdeck.connection.connection_pool import (
+    ConnectionPool,
+    keep_alive_ms,
+)
 from hornbeamdeck.connection.errors import ConnectFailed
 from hornbeamdeck.connection.http import HttpResponse
-from hornbeamdeck.connection.kept import KeptConnections, kept_for_ms
 from hornbeamdeck.wire import Grant, RunEnd
 
-__all__ = ('EngineLink',)
+__all__ = ('EngineConnection',)
 
 # Engines are milliseconds away. If connecting takes longer, a packet was lost
 # or the machine is down, and another engine is quicker.
@@ -19,25 +22,25 @@
 # How long a machine may take to acknowledge a request. A pooled connection to a
 # machine that lost power shows no other sign of the failure. One lost packet is
 # resent within 200 ms, and a second time after 400 ms more.
-UNACKNOWLEDGED_MS: Final = 600
+ACK_TIMEOUT_MS: Final = 600
 # After these a complete response has been read.
 _COMPLETE: Final = frozenset((RunEnd.ANSWERED, RunEnd.ERRORED))
 
 
-class EngineLink:
+class EngineConnection:
     """A pooled or new connection, returned to the pool where possible."""
 
-    def __init__(self, pool: KeptConnections, *, may_repeat: bool) -> None:
+    def __init__(self, pool: ConnectionPool, *, is_repeatable: bool) -> None:
         """Initialize; no connection is opened yet.
 
         :param pool: the pool of idle connections.
-        :param may_repeat: whether the request may run twice. Only then is a
+        :param is_repeatable: whether the request may run twice. Only then is a
             pooled connection used, since it may break as the request is
             written.
         """
         self.connection: ClientConnection | None = None
         self._pool = pool
-        self._may_repeat = may_repeat
+        self._is_repeatable = is_repeatable
         self._engine = ''
         self._was_pooled = False
         self._idle_ms = 0.0
@@ -49,8 +52,8 @@
         """Take a connection to the granted engine from the pool or open one."""
         self._engine = grant.upstream
         pooled = None
-        if self._may_repeat:
-            pooled = await self._pool.async_take(grant.upstream)
+        if self._is_repeatable:
+            pooled = await self._pool.async_acquire(grant.upstream)
         self._was_pooled = pooled is not None
         if pooled is not None:
             self.connection = pooled
@@ -61,7 +64,7 @@
         opened = await ClientConnection.async_open(
             Address.from_text(grant.address),
             timeout_ms=CONNECT_TIMEOUT_MS,
-            unheard_ms=UNACKNOWLEDGED_MS if self._may_repeat else 0,
+            ack_timeout_ms=ACK_TIMEOUT_MS if self._is_repeatable else 0,
         )
         if isinstance(opened, Ok):
             self.connection = opened.ok_value
@@ -69,7 +72,7 @@
 
     def record_keep_alive(self, head: HttpResponse) -> None:
         """Record how long the engine will keep the connection open."""
-        self._idle_ms = kept_for_ms(head.headers)
+        self._idle_ms = keep_alive_ms(head.headers)
 
     async def async_close(self, end: RunEnd) -> None:
         """Return the connection to the pool, or close it.
@@ -84,8 +87,10 @@
         if connection is None:
             return
         if end in _COMPLETE:
-            await self._pool.async_keep(self._engine, connection, self._idle_ms)
+            await self._pool.async_release(
+                self._engine, connection, self._idle_ms
+            )
             return
         await connection.async_close()
         if self._was_pooled and end == RunEnd.FAILED:
-            await self._pool.async_drop(self._engine)
+            await self._pool.async_close_engine(self._engine)
--- a/hornbeamdeck/request/event_feed.py
+++ b/hornbeamdeck/request/event_parser.py
@@ -3,7 +3,7 @@
 import re
 from typing import Final, NamedTuple
 
-__all__ = ('Event', 'EventFeed')
+__all__ = ('Event', 'EventParser')
 
 # A blank line ends an event, in any of the three line endings.
 _EVENT_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
@@ -13,15 +13,15 @@
 class Event(NamedTuple):
     """One event with the blank line that ends it.
 
-    :param name: its id; empty if it has none.
+    :param event_id: its id; empty if it has none.
     """
 
-    name: str
+    event_id: str
     encoded: bytes
 
 
-class EventFeed:
-    """Assembles complete events from pieces of a response body.
+class EventParser:
+    """Assembles complete events from chunks of a response body.
 
     An engine that fails may leave a partial event. If that were relayed, the
     first event of the engine that continues the stream would be joined to it.
@@ -36,9 +36,9 @@
         """Whether the stream so far ends within an event."""
         return bool(self._pending.strip())
 
-    def feed(self, piece: bytes) -> list[Event]:
-        """Add a piece and return the events that are complete now."""
-        pending = self._pending + piece
+    def add_chunk(self, chunk: bytes) -> list[Event]:
+        """Add a chunk and return the events that are complete now."""
+        pending = self._pending + chunk
         events = []
         start = 0
         for end in _EVENT_END.finditer(pending):
--- a/hornbeamdeck/request/routed_admission.py
+++ b/hornbeamdeck/request/gateway_admission.py
@@ -1,4 +1,4 @@
-"""Finds the route and the team of a routed request before it is queued."""
+"""Finds the route and the team of a gateway request before it is queued."""
 
 import random
 from collections.abc import Callable
@@ -8,17 +8,21 @@
 from result import Err, Ok, Result
 
 from hornbeamdeck.clock import now_ms
-from hornbeamdeck.process.proofs import Proofs
+from hornbeamdeck.process.freshness_guard import FreshnessGuard
+from hornbeamdeck.request.gateway_request import GatewayRequest
 from hornbeamdeck.request.outcome import NotRun
 from hornbeamdeck.request.refusal import unauthorized
-from hornbeamdeck.request.routed_ask import RoutedAsk
-from hornbeamdeck.version.routed import Route, RoutedConfiguration, RoutedTeam
+from hornbeamdeck.version.gateway import (
+    GatewayConfiguration,
+    GatewayTeam,
+    Route,
+)
 
 __all__ = (
     'CLIENT_TIMEOUT_GAPS',
-    'RoutedAdmission',
+    'GatewayAdmission',
     'async_admit',
-    'is_still_allowed',
+    'recheck_key',
 )
 
 # Retry delay for callers of an instance that has no configuration yet, or that
@@ -33,17 +37,17 @@
 RESPONSE_TRANSFER_MS: Final = 150
 
 
-class RoutedAdmission(NamedTuple):
+class GatewayAdmission(NamedTuple):
     """A request that may be queued for an engine.
 
     :param arrived_ms: when it had been read, on this process's clock.
     :param deadline_ms: when its final response is due, on the same clock.
     """
 
-    ask: RoutedAsk
+    request: GatewayRequest
     route: Route
     service: str
-    team: RoutedTeam | None
+    team: GatewayTeam | None
     arrived_ms: float
     deadline_ms: float
 
@@ -86,7 +90,7 @@
         return self.route.priority
 
     @property
-    def rank_in_team(self) -> int | None:
+    def route_rank(self) -> int | None:
         """The route's priority if the team's overrides it, else `None`."""
         if self.team is None or self.team.priority is None:
             return None
@@ -97,14 +101,14 @@
         """Number of tokens that it counts against its team's limit."""
         if self.team is None:
             return 0
-        return self.ask.counted_tokens or self.team.plain_tokens
+        return self.request.stated_tokens or self.team.default_request_tokens
 
 
 async def async_admit(
-    configuration: Callable[[], RoutedConfiguration],
-    proofs: Proofs,
-    ask: RoutedAsk,
-) -> Result[RoutedAdmission, NotRun]:
+    configuration: Callable[[], GatewayConfiguration],
+    freshness_guard: FreshnessGuard,
+    request: GatewayRequest,
+) -> Result[GatewayAdmission, NotRun]:
     """Find the route and the team of a request.
 
     The configuration is read again first if it may be out of date.
@@ -112,63 +116,68 @@
     :param configuration: returns the configuration in force here.
     """
     arrived_ms = now_ms()
-    await proofs.async_renew_configuration()
-    return _admit(configuration(), proofs, ask, arrived_ms)
+    await freshness_guard.async_refresh_configuration()
+    return _admit(configuration(), freshness_guard, request, arrived_ms)
 
 
 def _admit(
-    configuration: RoutedConfiguration,
-    proofs: Proofs,
-    ask: RoutedAsk,
+    configuration: GatewayConfiguration,
+    freshness_guard: FreshnessGuard,
+    request: GatewayRequest,
     arrived_ms: float,
-) -> Result[RoutedAdmission, NotRun]:
+) -> Result[GatewayAdmission, NotRun]:
     if not configuration.version:
         return Err(_unconfirmed('no_configuration', 'no configuration yet'))
-    route = configuration.find_route(ask.host, ask.request.path)
+    route = configuration.find_route(request.host, request.http_request.path)
     if route is None:
-        return Err(_deny_if_in_force(proofs, _no_route()))
+        return Err(_deny_if_current(freshness_guard, _no_route()))
     team = None
     if configuration.teams and not route.is_public:
-        if not proofs.has_keys():
+        if not freshness_guard.may_accept_keys():
             return Err(_stale_configuration())
-        team = configuration.team_of_key(ask.key)
+        team = configuration.team_of_key(request.bearer_key)
         if team is None:
-            return Err(_deny_if_in_force(proofs, unauthorized()))
+            return Err(_deny_if_current(freshness_guard, unauthorized()))
     return Ok(
-        RoutedAdmission(
-            ask=ask,
+        GatewayAdmission(
+            request=request,
             route=route,
             service=route.pick_service(random.random()),
             team=team,
             arrived_ms=arrived_ms,
-            deadline_ms=arrived_ms + min(ask.patience_ms, route.timeout_ms),
+            deadline_ms=arrived_ms
+            + min(request.client_timeout_ms, route.timeout_ms),
         ),
     )
 
 
-def is_still_allowed(
-    configuration: RoutedConfiguration,
-    admission: RoutedAdmission,
+def recheck_key(
+    configuration: GatewayConfiguration,
+    admission: GatewayAdmission,
     *,
-    has_keys: bool,
+    may_accept_keys: bool,
 ) -> Result[None, NotRun]:
     """Check the key again, just before a queued request is sent."""
     if admission.team is None:
         return Ok(None)
-    if not has_keys:
+    if not may_accept_keys:
         return Err(_stale_configuration())
-    if configuration.team_of_key(admission.ask.key) is None:
+    if configuration.team_of_key(admission.request.bearer_key) is None:
         return Err(unauthorized())
     return Ok(None)
 
 
-def _deny_if_in_force(proofs: Proofs, denial: NotRun) -> NotRun:
+def _deny_if_current(freshness_guard: FreshnessGuard, denial: NotRun) -> NotRun:
     """Return a denial only if the configuration is in force.
 
     A denial is final for its caller, so a stale configuration must not cause
     one.
     """
-    return denial if proofs.is_in_force() else _stale_configuration()
+    return (
+        denial
+        if freshness_guard.is_configuration_current()
+        else _stale_configuration()
+    )
 
 
 def _no_route() -> NotRun:
--- /dev/null
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -0,0 +1,192 @@
+"""Admits or refuses the gateway requests of a caller's connection."""
+
+from collections.abc import Awaitable, Callable
+from contextlib import AbstractContextManager
+from http import HTTPStatus
+from typing import Final, NamedTuple, TypeAlias
+
+import structlog
+from result import Err, Result
+
+from hornbeamdeck.connection.connection_pool import ConnectionPool
+from hornbeamdeck.connection.errors import BadRequest
+from hornbeamdeck.connection.http import HttpRequest, HttpResponse
+from hornbeamdeck.connection.request_loop import RequestHandler
+from hornbeamdeck.connection.server import ServerConnection
+from hornbeamdeck.process.freshness_guard import FreshnessGuard
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.request.gateway_admission import GatewayAdmission, async_admit
+from hornbeamdeck.request.gateway_request import Dialect
+from hornbeamdeck.request.outcome import NotRun
+from hornbeamdeck.version.gateway import GatewayConfiguration
+from hornbeamdeck.wire import Enqueue, Grant, RunEnd
+
+__all__ = (
+    'GatewayContext',
+    'RunAdmitted',
+    'make_gateway_handler',
+    'refuse_unreadable',
+)
+
+_LOGGER = structlog.get_logger(prefix='edge')
+
+# Parts of a graceful shutdown after which no stream, or no other request, is
+# started. Streams run for seconds; one that begins in the last two thirds of a
+# shutdown may still run at its end. Other responses take a fraction of that.
+MAX_SHUTDOWN_SHARE_STREAM: Final = 0.35
+MAX_SHUTDOWN_SHARE_OTHER: Final = 0.8
+# Short, because another instance is available at once.
+DRAINING_RETRY_MS: Final = 20
+
+RunAdmitted: TypeAlias = Callable[
+    [GatewayAdmission, ServerConnection],
+    Awaitable[None],
+]
+
+
+_Granted: TypeAlias = Result[Grant, NotRun]
+Acquire: TypeAlias = Callable[[Enqueue], Awaitable[_Granted]]
+
+
+class GatewayContext(NamedTuple):
+    """Dependencies for answering gateway requests.
+
+    :param freshness_guard: freshness of the configuration and of the list of
+        engines.
+    :param connection_pool: pool of idle connections to engines.
+    :param acquire_grant: waits for a grant.
+    :param report_first_token: gets a request's id and its time to first token,
+        ms.
+    :param release_grant: gets a request's id, how its run ended, how long it
+        took, and the longest gap between two events, ms.
+    :param record_granted_tokens: gets a team's name and the number of tokens
+        granted to it.
+    :param zone: this instance's availability zone.
+    :param is_draining: whether a graceful shutdown has begun.
+    :param shutdown_progress: elapsed part of a graceful shutdown; 0 if none has
+        begun.
+    :param track_in_flight: counts a request while it is being answered.
+    """
+
+    dialect: Dialect
+    configuration: Callable[[], GatewayConfiguration]
+    freshness_guard: FreshnessGuard
+    connection_pool: ConnectionPool
+    acquire_grant: Acquire
+    report_first_token: Callable[[str, float], Awaitable[None]]
+    release_grant: Callable[[str, RunEnd, float, float], Awaitable[None]]
+    record_granted_tokens: Callable[[str, int], None]
+    metrics: GatewayMetrics
+    zone: str
+    is_draining: Callable[[], bool]
+    shutdown_progress: Callable[[], float]
+    track_in_flight: Callable[[], AbstractContextManager[None]]
+
+
+def make_gateway_handler(
+    context: GatewayContext, run: RunAdmitted
+) -> RequestHandler:
+    """Make the handler that answers one request.
+
+    :param run: runs a request that was admitted.
+    """
+
+    async def _async_answer(
+        request: HttpRequest,
+        caller: ServerConnection,
+    ) -> None:
+        if context.is_draining():
+            caller.close_after_response()
+        with context.track_in_flight():
+            await _async_admit(context, run, request, caller)
+
+    return _async_answer
+
+
+async def _async_admit(
+    context: GatewayContext,
+    run: RunAdmitted,
+    request: HttpRequest,
+    caller: ServerConnection,
+) -> None:
+    decoded = context.dialect.read_request(request)
+    if isinstance(decoded, Err):
+        # Further bytes on this connection may belong to the bad request.
+        caller.close_after_response()
+        await _async_refuse(context, '', decoded.err_value, caller)
+        return
+    gateway_request = decoded.ok_value
+    admitted = await async_admit(
+        context.configuration, context.freshness_guard, gateway_request
+    )
+    if isinstance(admitted, Err):
+        await _async_refuse(
+            context, gateway_request.request_id, admitted.err_value, caller
+        )
+        return
+    if _would_be_cut_off(context, admitted.ok_value):
+        await _async_refuse(
+            context, gateway_request.request_id, _draining(), caller
+        )
+        return
+    await run(admitted.ok_value, caller)
+
+
+def _would_be_cut_off(
+    context: GatewayContext, admission: GatewayAdmission
+) -> bool:
+    """Whether a graceful shutdown would cut off a request that starts now.
+
+    Some callers use an address far longer than its time to live and send
+    requests in the last seconds of a shutdown. A stream that began then would
+    be cut off in the middle.
+    """
+    share = (
+        MAX_SHUTDOWN_SHARE_STREAM
+        if admission.route.is_stream
+        else MAX_SHUTDOWN_SHARE_OTHER
+    )
+    return context.shutdown_progress() > share
+
+
+def _draining() -> NotRun:
+    return NotRun(
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        'leaving',
+        'this instance is about to stop; another one serves',
+        DRAINING_RETRY_MS,
+    )
+
+
+async def _async_refuse(
+    context: GatewayContext,
+    request_id: str,
+    refusal: NotRun,
+    caller: ServerConnection,
+) -> None:
+    context.metrics.count_refusal(refusal.code)
+    _LOGGER.info(
+        'request refused at the edge',
+        request_id=request_id,
+        code=refusal.code,
+        status=int(refusal.status),
+        configuration_version=context.configuration().version,
+        newest_version=context.freshness_guard.newest_confirmed_version,
+        proof_age_ms=_age_for_log(
+            context.freshness_guard.configuration_age_ms()
+        ),
+    )
+    await caller.async_respond(
+        context.dialect.failure_response(refusal, request_id)
+    )
+
+
+def refuse_unreadable(context: GatewayContext, bad: BadRequest) -> HttpResponse:
+    """Make the response to a request that can't be parsed."""
+    refusal = NotRun(HTTPStatus(bad.status), 'unreadable', bad.detail)
+    context.metrics.count_refusal(refusal.code)
+    return context.dialect.failure_response(refusal, '')
+
+
+def _age_for_log(age_ms: float) -> int | None:
+    return int(age_ms) if age_ms < float('inf') else None
--- /dev/null
+++ b/hornbeamdeck/request/gateway_request.py
@@ -0,0 +1,96 @@
+"""Decoded gateway requests, and the interface of the dialect decoding them."""
+
+import enum
+from collections.abc import Callable
+from typing import NamedTuple, TypeAlias
+
+from result import Result
+
+from hornbeamdeck.connection.http import Headers, HttpRequest, HttpResponse
+from hornbeamdeck.request.outcome import Failure, NotRun
+
+__all__ = ('Dialect', 'EngineAttempt', 'GatewayRequest', 'ResponseVerdict')
+
+
+class GatewayRequest(NamedTuple):
+    """A decoded request.
+
+    :param host: without port, in lower case.
+    :param bearer_key: the bearer key; empty if there is none.
+    :param client_timeout_ms: the client timeout, counted from now.
+    :param prompt_tokens: tokens of the prompt; 0: no model request.
+    :param output_tokens: maximum number of tokens to generate.
+    :param expected_tokens: the caller's estimate of those; 0: none.
+    :param prompt_part_ids: ids of the prompt's parts, in order.
+    :param last_event_id: id of the last event that the caller received; empty:
+        none.
+    """
+
+    request_id: str
+    host: str
+    http_request: HttpRequest
+    bearer_key: str
+    client_timeout_ms: int
+    prompt_tokens: int
+    output_tokens: int
+    expected_tokens: int
+    prompt_part_ids: tuple[str, ...]
+    last_event_id: str
+
+    @property
+    def stated_tokens(self) -> int:
+        """Tokens that it counts against its team's limit; 0: not stated."""
+        return self.prompt_tokens + self.output_tokens
+
+
+class EngineAttempt(NamedTuple):
+    """One attempt to run a request on an engine.
+
+    :param engine: the only incarnation that may run it.
+    :param team: name of the team that holds its key; empty: public.
+    :param left_ms: how long the engine may work on it.
+    :param last_event_id: id of the last event that the caller received; empty:
+        none.
+    """
+
+    engine: str
+    team: str
+    left_ms: int
+    last_event_id: str
+
+
+class ResponseVerdict(enum.Enum):
+    """What the head of an engine's response shows about the request."""
+
+    RAN = enum.auto()
+    REJECTED = enum.auto()
+    MISDIRECTED = enum.auto()
+    INVALID_RESPONSE = enum.auto()
+
+
+ReadRequest: TypeAlias = Callable[[HttpRequest], Result[GatewayRequest, NotRun]]
+MakeEngineHeaders: TypeAlias = Callable[
+    [GatewayRequest, EngineAttempt], Headers
+]
+ClassifyResponse: TypeAlias = Callable[
+    [GatewayRequest, HttpResponse], ResponseVerdict
+]
+MakeCallerResponse: TypeAlias = Callable[[HttpResponse], HttpResponse]
+MakeFailureResponse: TypeAlias = Callable[[Failure, str], HttpResponse]
+
+
+class Dialect(NamedTuple):
+    """The HTTP conventions of callers and engines, as functions.
+
+    :param read_request: decodes a request, or returns why it is invalid.
+    :param engine_headers: makes the headers of a request for an engine.
+    :param classify_response: classifies an engine's response by its head.
+    :param caller_response: converts an engine's response for the caller.
+    :param failure_response: makes the response to a failed request from its id.
+    """
+
+    read_request: ReadRequest
+    engine_headers: MakeEngineHeaders
+    classify_response: ClassifyResponse
+    caller_response: MakeCallerResponse
+    failure_response: MakeFailureResponse
--- a/hornbeamdeck/request/routed_run.py
+++ b/hornbeamdeck/request/gateway_run.py
@@ -7,20 +7,20 @@
 from curio.errors import TaskTimeout
 from result import Err, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.server import ServerConnection
-from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
-from hornbeamdeck.request.refusal import deadline_passed
-from hornbeamdeck.request.routed_admission import (
+from hornbeamdeck.request.engine_attempts import EngineAttempts
+from hornbeamdeck.request.gateway_admission import (
     CLIENT_TIMEOUT_GAPS,
-    RoutedAdmission,
-    is_still_allowed,
+    GatewayAdmission,
+    recheck_key,
 )
-from hornbeamdeck.request.routed_call import EngineCall
-from hornbeamdeck.request.routed_edge import Edge
+from hornbeamdeck.request.gateway_handler import GatewayContext
+from hornbeamdeck.request.outcome import Failure, NotRun, Unknown
+from hornbeamdeck.request.refusal import deadline_passed
 from hornbeamdeck.wire import Enqueue, Grant, RunEnd
 
-__all__ = ('async_run_routed',)
+__all__ = ('async_run_gateway_request',)
 
 _LOGGER = structlog.get_logger(prefix='request')
 
@@ -49,9 +49,9 @@
     possible_runs: int = 0
 
 
-async def async_run_routed(
-    edge: Edge,
-    admission: RoutedAdmission,
+async def async_run_gateway_request(
+    context: GatewayContext,
+    admission: GatewayAdmission,
     caller: ServerConnection,
 ) -> None:
     """Answer a request.
@@ -59,10 +59,10 @@
     However it ends, the caller gets exactly one final response, or its
     connection is broken.
     """
-    run = RoutedRun(edge, admission, caller)
+    run = GatewayRun(context, admission, caller)
     failure: Failure | None = None
     try:
-        failure = await async_within(admission.left_ms, run.async_run())
+        failure = await async_with_timeout(admission.left_ms, run.async_run())
     except TaskTimeout:
         failure = run.timeout_failure()
     except BaseException:
@@ -72,21 +72,21 @@
         await run.async_fail(failure)
 
 
-class RoutedRun:
+class GatewayRun:
     """Runs one request from its admission to the last byte of its response."""
 
     def __init__(
         self,
-        edge: Edge,
-        admission: RoutedAdmission,
+        context: GatewayContext,
+        admission: GatewayAdmission,
         caller: ServerConnection,
     ) -> None:
         """Initialize; no grant has been requested yet."""
-        self._edge = edge
+        self._context = context
         self._admission = admission
         self._caller = caller
         self._attempts = _Attempts()
-        self._engine_call = EngineCall(edge, admission, caller)
+        self._engine_attempts = EngineAttempts(context, admission, caller)
         self._engine = ''
         self._waited_ms = 0.0
 
@@ -101,7 +101,9 @@
             if isinstance(granted, Err):
                 return await self._async_handle_refusal(granted.err_value)
             upstream = granted.ok_value.upstream
-            if not await self._edge.proofs.async_may_send(upstream):
+            if not await self._context.freshness_guard.async_may_send_to(
+                upstream
+            ):
                 await self._async_return_grant(upstream)
                 continue
             end = await self._async_attempt(granted.ok_value)
@@ -110,7 +112,10 @@
 
     def timeout_failure(self) -> Failure:
         """Make the failure of a request whose time limit has passed."""
-        if self._attempts.possible_runs or self._engine_call.is_sent:
+        if (
+            self._attempts.possible_runs
+            or self._engine_attempts.is_possibly_executing
+        ):
             return Unknown(
                 HTTPStatus.GATEWAY_TIMEOUT,
                 'deadline_passed',
@@ -121,24 +126,26 @@
     async def async_fail(self, failure: Failure) -> None:
         """Report a failure to the caller, by a response if none has started."""
         self.log('request failed', code=failure.code)
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             # Part of a response has been sent, so only a broken connection can
             # still signal the failure.
-            self._caller.abort()
+            self._caller.reset_on_close()
             return
-        request_id = self._admission.ask.request_id
-        response = self._edge.dialect.refusal(failure, request_id)
+        request_id = self._admission.request.request_id
+        response = self._context.dialect.failure_response(failure, request_id)
         await self._caller.async_respond(response)
 
     def log(self, event: str, *, code: str = 'answered') -> None:
         """Log one line on how a request ended and on which data."""
         admission = self._admission
-        edge = self._edge
+        context = self._context
         total_ms = now_ms() - admission.arrived_ms
-        edge.metrics.ended(admission.service, admission.rank, code, total_ms)
+        context.metrics.count_request(
+            admission.service, admission.rank, code, total_ms
+        )
         _LOGGER.info(
             event,
-            request_id=admission.ask.request_id,
+            request_id=admission.request.request_id,
             code=code,
             route=admission.route.name,
             kind=admission.route.kind.value,
@@ -147,55 +154,65 @@
             rank=admission.rank,
             service=admission.service,
             engine=self._engine,
-            prompt_tokens=admission.ask.prompt_tokens,
-            output_tokens=admission.ask.output_tokens,
-            expected_tokens=admission.ask.expected_tokens,
+            prompt_tokens=admission.request.prompt_tokens,
+            output_tokens=admission.request.output_tokens,
+            expected_tokens=admission.request.expected_tokens,
             waited_ms=int(self._waited_ms),
-            first_ms=int(self._engine_call.first_ms),
-            begun_ms=int(self._engine_call.begun_ms),
-            longest_gap_ms=int(self._engine_call.longest_gap_ms),
+            first_ms=int(self._engine_attempts.first_ms),
+            begun_ms=int(self._engine_attempts.begun_ms),
+            longest_gap_ms=int(self._engine_attempts.longest_gap_ms),
             objective_ms=admission.route.objective_ms,
             gap_ms=admission.route.gap_ms,
             total_ms=int(total_ms),
             tries=self._attempts.engines_reached,
-            last_event=self._engine_call.last_event_id,
-            configuration_version=edge.configuration().version,
-            newest_version=edge.proofs.newest_version,
-            proof_age_ms=_age_for_log(edge.proofs.configuration_age_ms()),
-            engines_age_ms=_age_for_log(edge.proofs.engines_age_ms()),
+            last_event=self._engine_attempts.last_event_id,
+            configuration_version=context.configuration().version,
+            newest_version=context.freshness_guard.newest_confirmed_version,
+            proof_age_ms=_age_for_log(
+                context.freshness_guard.configuration_age_ms()
+            ),
+            engines_age_ms=_age_for_log(
+                context.freshness_guard.engines_age_ms()
+            ),
         )
 
     async def _async_grant(self) -> Result[Grant, NotRun]:
         admission = self._admission
         requested_ms = now_ms()
-        granted = await self._edge.acquire(self._enqueue())
+        granted = await self._context.acquire_grant(self._enqueue())
         self._waited_ms += now_ms() - requested_ms
         if isinstance(granted, Err):
             return granted
-        allowed = is_still_allowed(
-            self._edge.configuration(),
+        allowed = recheck_key(
+            self._context.configuration(),
             admission,
-            has_keys=self._edge.proofs.has_keys(),
+            may_accept_keys=self._context.freshness_guard.may_accept_keys(),
         )
         if isinstance(allowed, Err):
-            request_id = admission.ask.request_id
-            await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
+            request_id = admission.request.request_id
+            await self._context.release_grant(
+                request_id, RunEnd.CANCELLED, 0, 0
+            )
             return allowed
         if not self._attempts.excluded and admission.team is not None:
-            self._edge.spend(admission.team_name, admission.quota_tokens)
+            self._context.record_granted_tokens(
+                admission.team_name, admission.quota_tokens
+            )
         return granted
 
     async def _async_return_grant(self, engine: str) -> None:
         """Return a grant whose engine is draining or has been removed."""
-        request_id = self._admission.ask.request_id
+        request_id = self._admission.request.request_id
         _LOGGER.info(
             'grant returned',
             request_id=request_id,
             engine=engine,
             cause='the engine is draining or was removed',
-            engines_age_ms=_age_for_log(self._edge.proofs.engines_age_ms()),
+            engines_age_ms=_age_for_log(
+                self._context.freshness_guard.engines_age_ms()
+            ),
         )
-        await self._edge.release(request_id, RunEnd.CANCELLED, 0, 0)
+        await self._context.release_grant(request_id, RunEnd.CANCELLED, 0, 0)
         excluded = (*self._attempts.excluded, engine)
         self._attempts = self._attempts._replace(excluded=excluded)
 
@@ -204,11 +221,11 @@
         granted_ms = now_ms()
         end = RunEnd.CANCELLED
         try:
-            end = await self._engine_call.async_run(grant)
+            end = await self._engine_attempts.async_run(grant)
         finally:
-            await self._engine_call.async_close(end)
-            await self._edge.release(
-                self._admission.ask.request_id,
+            await self._engine_attempts.async_close(end)
+            await self._context.release_grant(
+                self._admission.request.request_id,
                 end,
                 now_ms() - granted_ms,
                 self._single_engine_gap_ms(),
@@ -217,10 +234,10 @@
         if end != RunEnd.ANSWERED:
             _LOGGER.info(
                 'try ended',
-                request_id=self._admission.ask.request_id,
+                request_id=self._admission.request.request_id,
                 engine=grant.upstream,
                 end=end.name.lower(),
-                cause=self._engine_call.cause,
+                cause=self._engine_attempts.cause,
                 took_ms=int(now_ms() - granted_ms),
             )
         self._attempts = _Attempts(
@@ -239,7 +256,7 @@
         return (
             0
             if self._attempts.possible_runs
-            else self._engine_call.longest_gap_ms
+            else self._engine_attempts.longest_gap_ms
         )
 
     def _may_use_another_engine(self, end: RunEnd) -> bool:
@@ -249,16 +266,16 @@
             return False
         route = self._admission.route
         if (
-            not route.may_repeat
-            or self._attempts.possible_runs >= route.max_dispatches
+            not route.is_repeatable
+            or self._attempts.possible_runs >= route.max_attempts
         ):
             return False
-        return not self._caller.has_started or route.is_resumable
+        return not self._caller.has_response_started or route.is_resumable
 
     async def _async_handle_refusal(self, refusal: NotRun) -> Failure | None:
         if not self._attempts.possible_runs:
             return refusal
-        if self._engine_call.response is not None:
+        if self._engine_attempts.response is not None:
             return await self._async_finish(RunEnd.ERRORED)
         # An engine may have run the request, so it must not count as refused.
         return Unknown(
@@ -269,7 +286,7 @@
         )
 
     async def _async_finish(self, end: RunEnd) -> Failure | None:
-        response = self._engine_call.response
+        response = self._engine_attempts.response
         if end == RunEnd.ANSWERED or response is not None:
             self.log('request answered')
             if response is not None:
@@ -282,36 +299,36 @@
         )
 
     def _objective_left_ms(self) -> int:
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             return self._admission.route.gap_ms
         return self._admission.objective_left_ms
 
     def _client_timeout_left_ms(self) -> int:
-        if self._caller.has_started:
+        if self._caller.has_response_started:
             timeout_ms = CLIENT_TIMEOUT_GAPS * self._admission.route.gap_ms
             return min(timeout_ms, self._admission.left_ms)
         return self._admission.client_timeout_left_ms
 
     def _enqueue(self) -> Enqueue:
         admission = self._admission
-        ask = admission.ask
+        request = admission.request
         return Enqueue(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             cell=admission.service,
             team=admission.team_name,
             tier_rank=admission.rank,
             deadline_ms=admission.left_ms,
-            prompt_tokens=ask.prompt_tokens,
-            output_tokens=ask.expected_tokens or ask.output_tokens,
+            prompt_tokens=request.prompt_tokens,
+            output_tokens=request.expected_tokens or request.output_tokens,
             excluded=list(self._attempts.excluded),
-            fingerprint=self._engine_call.fingerprint[:FINGERPRINT_CHARS],
+            fingerprint=self._engine_attempts.fingerprint[:FINGERPRINT_CHARS],
             objective_ms=self._objective_left_ms(),
             patience_ms=self._client_timeout_left_ms(),
             gap_ms=admission.route.gap_ms,
             quota_tokens=admission.quota_tokens,
             dispatches=self._attempts.engines_reached,
-            zone=self._edge.zone,
-            route_rank=admission.rank_in_team,
+            zone=self._context.zone,
+            route_rank=admission.route_rank,
         )
 
 
--- a/hornbeamdeck/request/once_sources.py
+++ b/hornbeamdeck/request/idempotency.py
@@ -6,11 +6,12 @@
 
 from hornbeamdeck.connection.http import HttpResponse
 from hornbeamdeck.const import HEADER_IDEMPOTENCY_KEY
-from hornbeamdeck.process.issued_calls import IssuedCalls
+from hornbeamdeck.process.issued_key_calls import IssuedKeyCalls
 from hornbeamdeck.process.membership import Membership
 from hornbeamdeck.request.admission import Admission
 from hornbeamdeck.request.claim import Claims
 from hornbeamdeck.request.claim_record import ClaimCall, claim_key
+from hornbeamdeck.request.execution_right import Once, Recorded
 from hornbeamdeck.request.forward import (
     HEADER_FORWARDED,
     async_forward,
@@ -20,40 +21,43 @@
     IssuedKey,
     is_issued,
     issue_key,
-    read_key,
+    verify_issued_key,
 )
-from hornbeamdeck.request.once import Once, Recorded
 from hornbeamdeck.request.outcome import Failure
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('OnceSources', 'async_take_once', 'issue_for')
+__all__ = (
+    'IdempotencyContext',
+    'async_acquire_execution_right',
+    'issue_key_for_team',
+)
 
 
 MAX_KEY_CHARS: Final = 256
 
 
-class OnceSources(NamedTuple):
+class IdempotencyContext(NamedTuple):
     """Dependencies for claims and issued keys, and this instance's identity."""
 
     claims: Claims
-    issued: IssuedCalls
+    issued_calls: IssuedKeyCalls
     membership: Membership
     secret: str
 
 
-def issue_for(sources: OnceSources, team: str) -> str:
+def issue_key_for_team(context: IdempotencyContext, team: str) -> str:
     """Issue a key whose call only this incarnation will run."""
-    own = sources.membership.own
+    own = context.membership.own_status
     return issue_key(
         instance_id=own.instance_id,
         incarnation=own.incarnation,
         team=team,
-        secret=sources.secret,
+        secret=context.secret,
     )
 
 
-async def async_take_once(
-    sources: OnceSources,
+async def async_acquire_execution_right(
+    context: IdempotencyContext,
     admission: Admission,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
     """Get the right to run a call, or the outcome of an earlier request.
@@ -70,17 +74,19 @@
             ),
         )
     if not is_issued(key_text):
-        return await sources.claims.async_claim(
+        return await context.claims.async_claim(
             _make_claim_call(admission, key_text)
         )
-    decoded = read_key(
-        key_text, team=admission.team.name, secret=sources.secret
+    decoded = verify_issued_key(
+        key_text, team=admission.team.name, secret=context.secret
     )
     if isinstance(decoded, Err):
         return decoded
-    if _is_issued_here(sources, decoded.ok_value):
-        return sources.issued.begin(decoded.ok_value, admission.fingerprint)
-    return await _async_forward_to_issuer(sources, admission, decoded.ok_value)
+    if _is_issued_here(context, decoded.ok_value):
+        return context.issued_calls.claim_call(
+            decoded.ok_value, admission.fingerprint
+        )
+    return await _async_forward_to_issuer(context, admission, decoded.ok_value)
 
 
 def _make_claim_call(admission: Admission, idempotency_key: str) -> ClaimCall:
@@ -96,8 +102,8 @@
     )
 
 
-def _is_issued_here(sources: OnceSources, key: IssuedKey) -> bool:
-    own = sources.membership.own
+def _is_issued_here(context: IdempotencyContext, key: IssuedKey) -> bool:
+    own = context.membership.own_status
     return (key.instance_id, key.incarnation) == (
         own.instance_id,
         own.incarnation,
@@ -105,11 +111,11 @@
 
 
 async def _async_forward_to_issuer(
-    sources: OnceSources,
+    context: IdempotencyContext,
     admission: Admission,
     key: IssuedKey,
 ) -> Result[Once | Recorded | HttpResponse, Failure]:
-    issuer = sources.membership.status_of(key.instance_id)
+    issuer = context.membership.status_of(key.instance_id)
     if issuer is None or issuer.incarnation != key.incarnation:
         return Err(issuer_gone())
     if HEADER_FORWARDED in admission.request.headers:
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -10,7 +10,7 @@
 from curio.errors import TaskTimeout
 from result import Err, Ok, Result
 
-from hornbeamdeck.clock import async_within, now_ms
+from hornbeamdeck.clock import async_with_timeout, now_ms
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.engine_stream import (
     HEADER_RESUMABLE,
@@ -22,7 +22,7 @@
     HEADER_OUTCOME,
     HEADER_REQUEST_ID,
 )
-from hornbeamdeck.process.policy import Policy
+from hornbeamdeck.process.placement_policy import Policy
 from hornbeamdeck.request.admission import Admission
 from hornbeamdeck.request.outcome import Outcome, Unknown
 from hornbeamdeck.request.placement import Placement
@@ -122,20 +122,20 @@
     ) -> Result[HttpResponse, Unknown]:
         stream = EngineStream(self._upstream, response)
         self._stream = stream
-        sent_to_caller = await caller.async_start(
+        sent_to_caller = await caller.async_start_response(
             response.status, response.headers
         )
         tail = b''
         while not isinstance(sent_to_caller, Err):
-            piece = await stream.async_read_piece()
-            if isinstance(piece, Err):
+            chunk = await stream.async_read_chunk()
+            if isinstance(chunk, Err):
                 return Err(_upstream_broken())
-            if not piece.ok_value:
+            if not chunk.ok_value:
                 return await self._async_end_stream(response, caller, tail)
             if not tail:
                 await self._async_report_first_token(policy)
-            tail = (tail + piece.ok_value)[-TAIL_BYTES:]
-            sent_to_caller = await caller.async_send(piece.ok_value)
+            tail = (tail + chunk.ok_value)[-TAIL_BYTES:]
+            sent_to_caller = await caller.async_send_chunk(chunk.ok_value)
         self.end = RunEnd.CANCELLED
         return Err(_upstream_broken())
 
@@ -152,11 +152,11 @@
         if END_MARK not in tail:
             return Err(_upstream_broken())
         self.end = RunEnd.ANSWERED
-        await caller.async_end()
+        await caller.async_end_response()
         return Ok(response)
 
     async def _async_report_first_token(self, policy: Policy) -> None:
-        await policy.first_token(
+        await policy.on_first_token(
             self._admission.request_id,
             now_ms() - self._granted_ms,
         )
@@ -172,14 +172,14 @@
 ) -> Result[HttpResponse, Unknown]:
     """Relay within a time limit, and always release the upstream's slot.
 
-    :param caller: gets a stream piece by piece. If `None`, every response is
+    :param caller: gets a stream chunk by chunk. If `None`, every response is
         read completely, also a stream.
     :param limit_ms: when the run is cancelled, milliseconds from now.
     :returns: the response; its body lacks what was streamed to the caller.
     """
     relay = Relay(admission, placement)
     try:
-        return await async_within(
+        return await async_with_timeout(
             limit_ms,
             relay.async_run(caller, policy),
         )
@@ -191,7 +191,7 @@
         raise
     finally:
         await relay.async_close()
-        await policy.release(
+        await policy.on_end(
             admission.request_id,
             relay.end,
             now_ms() - placement.granted_ms,
--- a/hornbeamdeck/request/router.py
+++ b/hornbeamdeck/request/router.py
@@ -6,67 +6,70 @@
 from result import Err, Result
 
 from hornbeamdeck.connection.errors import BadRequest
-from hornbeamdeck.connection.exchange import Answer
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
+from hornbeamdeck.connection.request_loop import RequestHandler
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.request.admission import (
     PLAIN_PREFIX,
     Admission,
     admit_model,
     admit_plain,
-    new_id,
+    make_request_id,
 )
-from hornbeamdeck.request.answer import Answering, async_answer_admitted
+from hornbeamdeck.request.admitted_request import (
+    AnswerContext,
+    async_answer_admitted_request,
+)
+from hornbeamdeck.request.endpoints import RouterContext, answer_own_endpoint
 from hornbeamdeck.request.outcome import NotRun, to_response
-from hornbeamdeck.request.pages import Routing, own_page
 from hornbeamdeck.request.refusal import bad_request
 
-__all__ = ('Routing', 'make_answer', 'refuse_unreadable')
+__all__ = ('RouterContext', 'make_request_handler', 'refuse_unreadable')
 
 COMPLETION_PATHS: Final = ('/v1/chat/completions', '/v1/completions')
 
 
-def make_answer(routing: Routing) -> Answer:
-    """Make the function that answers one request."""
+def make_request_handler(routing: RouterContext) -> RequestHandler:
+    """Make the handler that answers one request."""
 
     async def _async_answer(
         request: HttpRequest,
         caller: ServerConnection,
     ) -> None:
-        if routing.is_leaving():
+        if routing.is_draining():
             caller.close_after_response()
-        parts = routing.answering()
-        with routing.in_flight():
-            await _async_route(routing, parts, request, caller)
+        context = routing.make_answer_context()
+        with routing.track_in_flight():
+            await _async_route(routing, context, request, caller)
 
     return _async_answer
 
 
 async def _async_route(
-    routing: Routing,
-    parts: Answering,
+    routing: RouterContext,
+    context: AnswerContext,
     request: HttpRequest,
     caller: ServerConnection,
 ) -> None:
-    request_id = new_id()
+    request_id = make_request_id()
     if request.path in COMPLETION_PATHS:
-        admitted = _admit_completion_call(parts, request, request_id)
+        admitted = _admit_completion_call(context, request, request_id)
     elif request.path.startswith(PLAIN_PREFIX):
-        admitted = admit_plain(parts.configuration, request, request_id)
+        admitted = admit_plain(context.configuration, request, request_id)
     else:
-        response = own_page(routing, parts, request, request_id)
+        response = answer_own_endpoint(routing, context, request, request_id)
         await caller.async_respond(response)
         return
     if isinstance(admitted, Err):
-        parts.metrics.refused_input.labels(admitted.err_value.code).inc()
+        context.metrics.refused_input.labels(admitted.err_value.code).inc()
         response = to_response(admitted.err_value, request_id)
         await caller.async_respond(response)
         return
-    await async_answer_admitted(parts, admitted.ok_value, caller)
+    await async_answer_admitted_request(context, admitted.ok_value, caller)
 
 
 def _admit_completion_call(
-    parts: Answering,
+    context: AnswerContext,
     request: HttpRequest,
     request_id: str,
 ) -> Result[Admission, NotRun]:
@@ -78,10 +81,10 @@
                 'completions are asked for by POST',
             ),
         )
-    return admit_model(parts.configuration, request, request_id)
+    return admit_model(context.configuration, request, request_id)
 
 
 def refuse_unreadable(bad: BadRequest) -> HttpResponse:
     """Make the response to a request that can't be parsed."""
     refusal = bad_request(bad.detail, 'unreadable')._replace(status=bad.status)
-    return to_response(refusal, new_id())
+    return to_response(refusal, make_request_id())
--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -5,9 +5,9 @@
 from types import MappingProxyType
 from typing import Final, NamedTuple
 
-from hornbeamdeck.scheduling.suspicion import Suspicions
-from hornbeamdeck.scheduling.ticket import Deliver, Ticket
+from hornbeamdeck.scheduling.queued_request import Deliver, QueuedRequest
 from hornbeamdeck.scheduling.tier_queue import TierQueue
+from hornbeamdeck.scheduling.upstream_crash_tracker import UpstreamCrashTracker
 from hornbeamdeck.scheduling.upstream_load import UpstreamLoad
 from hornbeamdeck.version.entities import Upstream
 from hornbeamdeck.wire import (
@@ -32,33 +32,33 @@
 class Granted(NamedTuple):
     """A request that may run, and on which upstream.
 
-    :param held_for: why it waited while upstreams had free slots, if it did.
+    :param hold_reason: why it waited while upstreams had free slots, if it did.
     """
 
-    ticket: Ticket
+    queued: QueuedRequest
     upstream: str
     address: str = ''
-    held_for: str = ''
+    hold_reason: str = ''
 
 
 class Refused(NamedTuple):
     """A refused request and the refusal to send to its ingress.
 
-    :param facts: what the refusal was based on, as log fields.
+    :param log_fields: what the refusal was based on, as log fields.
     """
 
-    ticket: Ticket
+    queued: QueuedRequest
     refusal: Refuse
-    facts: Mapping[str, object] = MappingProxyType({})
+    log_fields: Mapping[str, object] = MappingProxyType({})
 
 
 class Cell:
     """Decides which waiting request runs next and on which upstream."""
 
     def __init__(self) -> None:
-        """Start without upstreams; `adopt` adds them."""
+        """Start without upstreams; `apply_configuration` adds them."""
         self.loads: dict[str, UpstreamLoad] = {}
-        self.suspicions = Suspicions()
+        self.crash_tracker = UpstreamCrashTracker()
         self._tiers: dict[int, TierQueue] = {}
         self._latest_start: list[tuple[float, str, int]] = []
         self._weights: Mapping[str, int] = {}
@@ -68,7 +68,7 @@
         """Return the number of waiting requests."""
         return sum(map(len, self._tiers.values()))
 
-    def adopt(
+    def apply_configuration(
         self,
         upstreams: tuple[Upstream, ...],
         *,
@@ -88,7 +88,7 @@
             )
             load.upstream = upstream
 
-    def offer(
+    def enqueue(
         self,
         request: Enqueue,
         *,
@@ -98,7 +98,7 @@
     ) -> Refused | None:
         """Queue a request, or refuse it if it can't be served in time."""
         self.withdraw(request.request_id)
-        ticket = Ticket(
+        queued = QueuedRequest(
             request=request,
             sender=sender,
             deliver=deliver,
@@ -106,41 +106,41 @@
             service_ms=_best_service_ms(self.loads.values(), request, now),
         )
         if not self.loads:
-            return self._refuse(ticket, RefusalReason.NO_UPSTREAM)
-        if self.suspicions.is_culprit(request.fingerprint, now):
-            return self._refuse(ticket, RefusalReason.CULPRIT)
+            return self._refuse(queued, RefusalReason.NO_UPSTREAM)
+        if self.crash_tracker.is_confirmed_poison(request.fingerprint, now):
+            return self._refuse(queued, RefusalReason.CULPRIT)
         wait_ms = self._wait_ms(request.tier_rank)
-        if wait_ms + ticket.service_ms > request.deadline_ms:
-            return self._refuse(ticket, RefusalReason.DEADLINE)
+        if wait_ms + queued.service_ms > request.deadline_ms:
+            return self._refuse(queued, RefusalReason.DEADLINE)
         queue = self._tiers.setdefault(request.tier_rank, TierQueue())
-        queue.push(ticket)
+        queue.push(queued)
         entry = (
-            ticket.deadline_ms - ticket.service_ms,
+            queued.deadline_ms - queued.service_ms,
             request.request_id,
             request.tier_rank,
         )
         heapq.heappush(self._latest_start, entry)
         return None
 
-    def displace(self) -> Iterator[Refused]:
+    def shed(self) -> Iterator[Refused]:
         """Refuse requests, lowest tier first, while the queue is too long."""
         while self._wait_ms(max(self._tiers, default=0)) > MAX_WAIT_MS:
             lowest = max(rank for rank, queue in self._tiers.items() if queue)
             queue = self._tiers[lowest]
-            ticket = queue.newest_of_largest_team()
-            queue.remove(ticket.request.request_id)
-            yield self._refuse(ticket, RefusalReason.OVERLOADED)
+            queued = queue.newest_of_largest_team()
+            queue.remove(queued.request.request_id)
+            yield self._refuse(queued, RefusalReason.OVERLOADED)
 
-    def expire(self, now: float) -> Iterator[Refused]:
+    def refuse_expired(self, now: float) -> Iterator[Refused]:
         """Refuse requests that could no longer end in time if started now."""
         while self._latest_start and self._latest_start[0][0] < now:
             _, request_id, rank = heapq.heappop(self._latest_start)
             queue = self._tiers[rank]
             if request_id in queue:
-                ticket = queue.remove(request_id)
-                yield self._refuse(ticket, RefusalReason.DEADLINE)
+                queued = queue.remove(request_id)
+                yield self._refuse(queued, RefusalReason.DEADLINE)
 
-    def grants(self, now: float) -> Iterator[Granted]:
+    def place_waiting(self, now: float) -> Iterator[Granted]:
         """Place waiting requests, highest tier first, until none fits.
 
         A lower tier gets no slots while the next request of a higher tier can't
@@ -150,10 +150,10 @@
         """
         for rank in sorted(self._tiers):
             queue = self._tiers[rank]
-            skipped: list[Ticket] = []
+            skipped: list[QueuedRequest] = []
             is_full = yield from self._grants_of_tier(queue, skipped, now)
-            for ticket in skipped:
-                queue.push(ticket)
+            for queued in skipped:
+                queue.push(queued)
             if is_full:
                 return
 
@@ -194,7 +194,7 @@
         )
         if message.end == RunEnd.NOT_DISPATCHED:
             load.start_backoff(now)
-        return self.suspicions.record_run_end(
+        return self.crash_tracker.record_run_end(
             load.upstream,
             run.fingerprint,
             message.end,
@@ -202,14 +202,14 @@
             now=now,
         )
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
         for queue in self._tiers.values():
             dropped = [each for each in queue if each.sender == sender]
-            for ticket in dropped:
-                queue.remove(ticket.request.request_id)
+            for queued in dropped:
+                queue.remove(queued.request.request_id)
         for load in self.loads.values():
-            load.drop_sender(sender)
+            load.remove_sender(sender)
 
     def _find_running(self, request_id: str) -> UpstreamLoad | None:
         for load in self.loads.values():
@@ -220,33 +220,33 @@
     def _grants_of_tier(
         self,
         queue: TierQueue,
-        skipped: list[Ticket],
+        skipped: list[QueuedRequest],
         now: float,
     ) -> Generator[Granted, None, bool]:
         while queue and len(skipped) < MAX_SKIPPED:
-            ticket = queue.next_ticket()
-            request = ticket.request
-            load = self._place(ticket, now)
+            queued = queue.next_request()
+            request = queued.request
+            load = self._place(queued, now)
             if load is None:
                 return True
-            if self._must_skip(ticket, load, now):
+            if self._must_skip(queued, load, now):
                 skipped.append(queue.remove(request.request_id))
                 continue
             weight = self._weights.get(request.team, 1)
             queue.serve(request.request_id, weight)
-            load.add(_to_register(ticket, load), ticket.sender)
-            yield Granted(ticket, load.upstream.name)
+            load.add(_to_register(queued, load), queued.sender)
+            yield Granted(queued, load.upstream.name)
         return False
 
     def _must_skip(
         self,
-        ticket: Ticket,
+        queued: QueuedRequest,
         load: UpstreamLoad,
         now: float,
     ) -> bool:
-        request = ticket.request
+        request = queued.request
         needed_ms = load.confidence(now) * _service_ms(load, request)
-        if now + needed_ms > ticket.deadline_ms:
+        if now + needed_ms > queued.deadline_ms:
             # It would end too late there and its prefill would be wasted.
             return True
         running = (
@@ -254,10 +254,10 @@
             for other in self.loads.values()
             for fingerprint in other.fingerprints()
         )
-        return self.suspicions.must_wait(request.fingerprint, running, now)
+        return self.crash_tracker.must_wait(request.fingerprint, running, now)
 
-    def _place(self, ticket: Ticket, now: float) -> UpstreamLoad | None:
-        request = ticket.request
+    def _place(self, queued: QueuedRequest, now: float) -> UpstreamLoad | None:
+        request = queued.request
         is_top_tier = request.tier_rank == self._top_rank
         excluded = request.excluded or ()
         candidates = (
@@ -288,15 +288,15 @@
         slots = sum(load.upstream.max_running for load in self.loads.values())
         return ahead_ms / max(slots, 1)
 
-    def _refuse(self, ticket: Ticket, reason: RefusalReason) -> Refused:
-        wait_ms = self._wait_ms(ticket.request.tier_rank)
+    def _refuse(self, queued: QueuedRequest, reason: RefusalReason) -> Refused:
+        wait_ms = self._wait_ms(queued.request.tier_rank)
         retry_ms = min(max(int(wait_ms), MIN_RETRY_MS), MAX_RETRY_MS)
         refusal = Refuse(
-            request_id=ticket.request.request_id,
+            request_id=queued.request.request_id,
             reason=reason,
             retry_after_ms=retry_ms,
         )
-        return Refused(ticket, refusal)
+        return Refused(queued, refusal)
 
 
 def _best_service_ms(
@@ -321,13 +321,13 @@
     return load.service_ms(request.prompt_tokens, request.output_tokens)
 
 
-def _to_register(ticket: Ticket, load: UpstreamLoad) -> Register:
+def _to_register(queued: QueuedRequest, load: UpstreamLoad) -> Register:
     return Register(
-        request_id=ticket.request.request_id,
-        cell=ticket.request.cell,
+        request_id=queued.request.request_id,
+        cell=queued.request.cell,
         upstream=load.upstream.name,
-        prompt_tokens=ticket.request.prompt_tokens,
-        output_tokens=ticket.request.output_tokens,
+        prompt_tokens=queued.request.prompt_tokens,
+        output_tokens=queued.request.output_tokens,
         is_prefilling=True,
-        fingerprint=ticket.request.fingerprint,
+        fingerprint=queued.request.fingerprint,
     )
--- a/hornbeamdeck/scheduling/crash_watch.py
+++ b/hornbeamdeck/scheduling/engine_crash_tracker.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import Final, NamedTuple
 
-__all__ = ('POISON_CRASHES', 'CrashWatch')
+__all__ = ('POISON_CRASHES', 'EngineCrashTracker')
 
 # A request that was running on this many engines when they crashed is refused.
 POISON_CRASHES: Final = 3
@@ -30,7 +30,7 @@
     until_ms: float
 
 
-class CrashWatch:
+class EngineCrashTracker:
     """Counts crashes by the fingerprint of the requests that were running."""
 
     def __init__(self) -> None:
@@ -38,20 +38,22 @@
         self._failed_runs: dict[str, deque[_FailedRun]] = {}
         self._crash_counts: dict[str, _CrashCount] = {}
 
-    def crashes(self, fingerprint: str, now: float) -> int:
+    def crash_count(self, fingerprint: str, now: float) -> int:
         """Return the number of crashes during which a request was running."""
         count = self._crash_counts.get(fingerprint)
         if count is None or count.until_ms < now:
             return 0
         return count.crashes
 
-    def is_culprit(self, fingerprint: str, now: float) -> bool:
+    def is_confirmed_poison(self, fingerprint: str, now: float) -> bool:
         """Return whether a request is to be refused."""
-        return self.crashes(fingerprint, now) >= POISON_CRASHES
+        return self.crash_count(fingerprint, now) >= POISON_CRASHES
 
-    def note(self, fingerprint: str, crashes: int, now: float) -> None:
+    def merge_crash_count(
+        self, fingerprint: str, crashes: int, now: float
+    ) -> None:
         """Apply the number of crashes that another owner has counted."""
-        crash_count = max(crashes, self.crashes(fingerprint, now))
+        crash_count = max(crashes, self.crash_count(fingerprint, now))
         self._crash_counts[fingerprint] = _CrashCount(
             crash_count, now + RETENTION_MS
         )
@@ -83,9 +85,9 @@
             if each.at_ms >= now - SAME_CRASH_MS
         }
         for each in suspects:
-            self.note(each, self.crashes(each, now) + 1, now)
+            self.merge_crash_count(each, self.crash_count(each, now) + 1, now)
         return max(
             suspects,
-            key=lambda fingerprint: self.crashes(fingerprint, now),
+            key=lambda fingerprint: self.crash_count(fingerprint, now),
             default='',
         )
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -13,9 +13,9 @@
 from hornbeamdeck.scheduling.engine_health import EngineHealth
 from hornbeamdeck.scheduling.engine_run import EngineRun, record_prefill_overlap
 from hornbeamdeck.scheduling.forecast import Forecast
+from hornbeamdeck.scheduling.gap_estimate import GapEstimate, prefill_ms
 from hornbeamdeck.scheduling.output_estimate import OutputEstimate
-from hornbeamdeck.scheduling.pause_estimate import GapEstimate, prefill_ms
-from hornbeamdeck.version.routed import EngineTraits
+from hornbeamdeck.version.gateway import EngineProperties
 from hornbeamdeck.wire import Register, RunEnd
 
 __all__ = (
@@ -59,30 +59,30 @@
     def __init__(
         self,
         engine: Engine,
-        traits: EngineTraits,
+        properties: EngineProperties,
         estimates: ServiceEstimates,
     ) -> None:
         """Start idle, at the modelled speed.
 
         :param estimates: shared by all engines of the service.
         """
-        self.update(engine, traits)
+        self.update(engine, properties)
         self.estimates = estimates
         self.slowness = 1.0
         self.runs: dict[str, EngineRun] = {}
         self.health = EngineHealth()
         self._prefill_done_ms = 0.0
 
-    def update(self, engine: Engine, traits: EngineTraits) -> None:
+    def update(self, engine: Engine, properties: EngineProperties) -> None:
         """Apply the engine's current entry in the list of engines."""
         self.engine = engine
-        self.traits = traits
+        self.properties = properties
         # Number of requests that the engine processes concurrently.
-        self.slots = engine.slots or traits.slots or 1
+        self.slots = engine.slots or properties.slots or 1
 
     def has_free_slot(self) -> bool:
         """Return whether a request would start at once."""
-        return len(self.runs) < self.slots and not self.engine.is_leaving
+        return len(self.runs) < self.slots and not self.engine.is_draining
 
     def free_slots(self) -> int:
         """Return the number of requests that would start at once."""
@@ -108,7 +108,7 @@
         """
         prefill_work_ms = self.backlog_ms(now) / self.slowness
         prefill_work_ms += prefill_ms(prompt_tokens)
-        per_event = self.traits.tokens_per_event
+        per_event = self.properties.tokens_per_event
         return (
             self.estimates.gaps.gap_ms(prefill_work_ms, per_event)
             * self.slowness
@@ -174,7 +174,7 @@
             first_token_at_ms=now,
             expected_end_ms=now + self._output_ms(run),
         )
-        if run.expected_first_token_ms and self.traits.is_model:
+        if run.expected_first_token_ms and self.properties.is_model:
             weight = run.expected_first_token_ms / (
                 run.expected_first_token_ms + SAMPLE_WEIGHT_MS
             )
@@ -195,20 +195,20 @@
         self.health.record_run_end(run.zone, end, now)
         return run
 
-    def learn_pause(self, run: EngineRun, longest_gap_ms: float) -> None:
+    def learn_gap(self, run: EngineRun, longest_gap_ms: float) -> None:
         """Update the gap estimate from the longest gap of a complete stream."""
         if (
             run.overlapping_prefill_ms
             and longest_gap_ms
-            and self.traits.is_model
+            and self.properties.is_model
         ):
             self.estimates.gaps.learn(
                 longest_gap_ms / self.slowness,
                 run.overlapping_prefill_ms,
-                self.traits.tokens_per_event,
+                self.properties.tokens_per_event,
             )
 
-    def drop_sender(self, sender: str) -> None:
+    def remove_sender(self, sender: str) -> None:
         """Remove the runs of a closed connection."""
         dropped = [
             key for key, run in self.runs.items() if run.sender == sender
@@ -222,13 +222,13 @@
     def _output_ms(self, run: EngineRun) -> float:
         """Estimate how long a run continues after its first token."""
         output = self.estimates.output
-        if not self.traits.is_model:
+        if not self.properties.is_model:
             return output.call_ms
         return run.output_tokens * output.token_ms * self.slowness
 
     def _learn_output(self, run: EngineRun, now: float) -> None:
         output = self.estimates.output
-        if not self.traits.is_model:
+        if not self.properties.is_model:
             output.learn_call(now - run.started_ms)
         elif run.first_token_at_ms:
             elapsed_ms = (now - run.first_token_at_ms) / self.slowness
