--- a/hornbeamdeck/standin/batch.py
+++ b/hornbeamdeck/standin/batch.py
@@ -12,7 +12,7 @@
 
 from hornbeamdeck.const import MILLIS_PER_SECOND
 
-__all__ = ('Batch', 'EngineModel', 'EngineRecords', 'Sequence')
+__all__ = ('Batch', 'EngineTiming', 'EngineCounters', 'Sequence')
 
 END_OF_OUTPUT: Final = -1
 COUNTER_NAMES: Final = (
@@ -23,22 +23,22 @@
 )
 
 
-class EngineModel(NamedTuple):
+class EngineTiming(NamedTuple):
     """Durations and limits of a simulated engine.
 
     :param speed: divisor of every duration; 1 is the reference engine.
-    :param max_batch: maximum number of responses generated at the same time,
-        as limited by the engine's memory. Further admitted requests wait in
-        the engine in order of arrival.
+    :param max_batch_size: maximum number of responses generated at the same
+        time, as limited by the engine's memory. Further admitted requests
+        wait in the engine in order of arrival.
     """
 
     speed: float = 1
     step_ms: float = 8
-    step_per_answer_ms: float = 0.5
+    step_per_sequence_ms: float = 0.5
     prefill_token_ms: float = 0.05
     prefill_chunk_tokens: int = 512
     cache_blocks: int = 256
-    max_batch: int = 16
+    max_batch_size: int = 16
 
     @classmethod
     def from_config(cls, raw: dict[str, float]) -> Self:
@@ -46,7 +46,7 @@
         return cls(**raw)  # type: ignore[arg-type]
 
 
-class EngineRecords(NamedTuple):
+class EngineCounters(NamedTuple):
     """Counters of an engine.
 
     :param runs: number of runs by request id.
@@ -71,10 +71,10 @@
 class Batch:
     """The requests that an engine has admitted."""
 
-    def __init__(self, model: EngineModel) -> None:
+    def __init__(self, timing: EngineTiming) -> None:
         """Create an empty batch."""
-        self.model = model
-        self.records = EngineRecords(
+        self.timing = timing
+        self.counters = EngineCounters(
             {},
             dict.fromkeys(COUNTER_NAMES, 0),
         )
@@ -83,7 +83,7 @@
         self._has_sequences = Event()
 
     @property
-    def running(self) -> int:
+    def running_requests(self) -> int:
         """Number of requests in the batch."""
         return len(self._sequences)
 
@@ -95,7 +95,7 @@
     async def async_admit(self, sequence: Sequence) -> None:
         """Add a request; like real engines, admit it at any load."""
         self._sequences.append(sequence)
-        self.peak_running = max(self.peak_running, self.running)
+        self.peak_running = max(self.peak_running, self.running_requests)
         await self._has_sequences.set()
 
     def cancel(self, sequence: Sequence) -> None:
@@ -104,7 +104,7 @@
             return
         self._sequences.remove(sequence)
         wasted = sequence.prefilled_tokens
-        self.records.counts['wasted_prefill_tokens'] += wasted
+        self.counters.counts['wasted_prefill_tokens'] += wasted
 
     async def async_run(self) -> None:
         """Run steps until cancelled; wait while the batch is empty."""
@@ -115,31 +115,31 @@
             await self._async_step()
 
     async def _async_step(self) -> None:
-        active = self._sequences[: self.model.max_batch]
+        active = self._sequences[: self.timing.max_batch_size]
         decoding = [each for each in active if not each.prefill_tokens_left]
         prefilled = self._prefill(active)
-        model = self.model
-        step_ms = model.step_ms + model.step_per_answer_ms * len(decoding)
-        step_ms += model.prefill_token_ms * prefilled
-        await sleep(step_ms / model.speed / MILLIS_PER_SECOND)
+        timing = self.timing
+        step_ms = timing.step_ms + timing.step_per_sequence_ms * len(decoding)
+        step_ms += timing.prefill_token_ms * prefilled
+        await sleep(step_ms / timing.speed / MILLIS_PER_SECOND)
         for sequence in decoding:
             await self._async_decode(sequence)
 
     def _prefill(self, active: list[Sequence]) -> int:
-        tokens_left = self.model.prefill_chunk_tokens
+        tokens_left = self.timing.prefill_chunk_tokens
         for sequence in active:
             tokens = min(tokens_left, sequence.prefill_tokens_left)
             sequence.prefill_tokens_left -= tokens
             sequence.prefilled_tokens += tokens
             tokens_left -= tokens
-        prefilled_tokens = self.model.prefill_chunk_tokens - tokens_left
-        self.records.counts['prefilled_tokens'] += prefilled_tokens
+        prefilled_tokens = self.timing.prefill_chunk_tokens - tokens_left
+        self.counters.counts['prefilled_tokens'] += prefilled_tokens
         return prefilled_tokens
 
     async def _async_decode(self, sequence: Sequence) -> None:
         if sequence not in self._sequences:
             return
-        self.records.counts['output'] += 1
+        self.counters.counts['output'] += 1
         sequence.output_tokens_left -= 1
         await sequence.output.put(sequence.output_tokens_left)
         if sequence.output_tokens_left <= 0:
--- a/hornbeamdeck/standin/engine.py
+++ b/hornbeamdeck/standin/engine.py
@@ -33,20 +33,23 @@
 from hornbeamdeck.standin.batch import (
     END_OF_OUTPUT,
     Batch,
-    EngineModel,
+    EngineTiming,
     Sequence,
 )
-from hornbeamdeck.standin.cache import PrefixCache
 from hornbeamdeck.standin.completion import (
     encode_event,
     extract_prompt,
     make_choice,
     make_response,
 )
-from hornbeamdeck.standin.streams import Streams
-from hornbeamdeck.standin.web import async_setup_web, json_response
+from hornbeamdeck.standin.http_server import (
+    async_setup_http_server,
+    json_response,
+)
+from hornbeamdeck.standin.prefix_cache import PrefixCache
+from hornbeamdeck.standin.resumable_streams import Streams
 
-__all__ = ('EngineStandin', 'async_setup_engine', 'expected_answer')
+__all__ = ('EngineStandin', 'async_setup_engine', 'expected_response')
 
 DEFAULT_OUTPUT_TOKENS: Final = 16
 CHARS_PER_TOKEN: Final = 4
@@ -58,7 +61,7 @@
 OutageHandler: TypeAlias = Callable[[int], Awaitable[None]]
 
 
-def expected_answer(prompt: str, output_tokens: int) -> str:
+def expected_response(prompt: str, output_tokens: int) -> str:
     """Return the response text that an engine generates for a prompt.
 
     Callers compare it with what they received. The words depend on the
@@ -73,10 +76,10 @@
 class EngineStandin:
     """An engine with its batch, its delayed load report and its faults."""
 
-    def __init__(self, model: EngineModel) -> None:
+    def __init__(self, timing: EngineTiming) -> None:
         """Create an idle engine without faults."""
-        self.batch = Batch(model)
-        self.cache = PrefixCache(max_blocks=model.cache_blocks)
+        self.batch = Batch(timing)
+        self.cache = PrefixCache(max_blocks=timing.cache_blocks)
         self.streams = Streams(self.batch)
         self.crash_mark = ''
         self.break_mark = ''
@@ -94,7 +97,7 @@
         while True:
             self._reports.append(
                 {
-                    'running': self.batch.running,
+                    'running': self.batch.running_requests,
                     'queued_prompt_tokens': self.batch.queued_prompt_tokens,
                 },
             )
@@ -122,7 +125,7 @@
             events = [each._asdict() for each in self.cache.events(after)]
             return json_response(HTTPStatus.OK, {'events': events})
         if request.path == '/standin/records':
-            records = self.batch.records
+            records = self.batch.counters
             return json_response(
                 HTTPStatus.OK, {'runs': records.runs, **records.counts}
             )
@@ -134,9 +137,9 @@
         self,
         switches: dict[str, Any],
     ) -> HttpResponse:
-        model = self.batch.model
-        speed = switches.get('speed', model.speed)
-        self.batch.model = model._replace(speed=speed)
+        timing = self.batch.timing
+        speed = switches.get('speed', timing.speed)
+        self.batch.timing = timing._replace(speed=speed)
         self.crash_mark = switches.get('crash_mark', self.crash_mark)
         self.break_mark = switches.get('break_mark', self.break_mark)
         if 'down_ms' in switches and self.on_outage is not None:
@@ -157,7 +160,7 @@
             await self.on_crash()
             return
         if self.break_mark and self.break_mark in prompt and self.on_outage:
-            self.batch.records.counts['breaks'] += 1
+            self.batch.counters.counts['breaks'] += 1
             await spawn(self.on_outage, BREAK_OUTAGE_MS, daemon=True)
             await sleep(1)
             return
@@ -179,7 +182,7 @@
             self.batch.cancel(sequence)
 
     def _count_run(self, request: HttpRequest) -> None:
-        runs = self.batch.records.runs
+        runs = self.batch.counters.runs
         request_id = request.headers.get(HEADER_REQUEST_ID, 'none')
         runs.setdefault(request_id, 0)
         runs[request_id] += 1
@@ -224,10 +227,10 @@
     connection: ServerConnection,
 ) -> None:
     headers = {'content-type': 'text/event-stream'}
-    await connection.async_start(HTTPStatus.OK, headers)
+    await connection.async_start_response(HTTPStatus.OK, headers)
     async for encoded in _async_encode_events(words, body):
-        await connection.async_send(encoded)
-    await connection.async_end()
+        await connection.async_send_chunk(encoded)
+    await connection.async_end_response()
 
 
 async def _async_encode_events(
@@ -242,7 +245,7 @@
 
 async def async_setup_engine(
     address: Address,
-    model: EngineModel,
+    timing: EngineTiming,
 ) -> tuple[EngineStandin, Listener]:
     """Start an engine that listens on an address.
 
@@ -250,8 +253,8 @@
 
     :returns: the engine and its listener.
     """
-    engine = EngineStandin(model)
-    listeners = [await async_setup_web(address, engine.async_handle)]
+    engine = EngineStandin(timing)
+    listeners = [await async_setup_http_server(address, engine.async_handle)]
     bound_address = listeners[0].address
     batch_task = await spawn(engine.batch.async_run, daemon=True)
     report_task = await spawn(engine.async_refresh_report, daemon=True)
@@ -268,7 +271,7 @@
     async def _async_cut() -> None:
         await listeners[-1].async_unload()
         listeners.append(
-            await async_setup_web(bound_address, engine.async_handle)
+            await async_setup_http_server(bound_address, engine.async_handle)
         )
 
     async def _async_outage(down_ms: int) -> None:
@@ -276,7 +279,7 @@
         await engine.streams.async_cancel_all()
         await sleep(down_ms / MILLIS_PER_SECOND)
         listeners.append(
-            await async_setup_web(bound_address, engine.async_handle)
+            await async_setup_http_server(bound_address, engine.async_handle)
         )
 
     engine.on_crash = _async_crash
--- a/hornbeamdeck/standin/platform.py
+++ b/hornbeamdeck/standin/platform.py
@@ -14,13 +14,16 @@
 from curio.errors import TaskTimeout
 from result import Err
 
-from hornbeamdeck.clock import async_within
+from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.address import Address, async_connect
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
 from hornbeamdeck.connection.listener import Listener
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import MEBIBYTE, MILLIS_PER_SECOND, PREFIX_INSTANCE
-from hornbeamdeck.standin.web import async_setup_web, json_response
+from hornbeamdeck.standin.http_server import (
+    async_setup_http_server,
+    json_response,
+)
 
 __all__ = ('PlatformStandin', 'async_setup_platform')
 
@@ -37,7 +40,7 @@
     body: str
 
 
-class Switches(NamedTuple):
+class FaultSwitches(NamedTuple):
     """Simulated faults.
 
     :param is_down: whether calls are dropped without effect or response.
@@ -56,9 +59,9 @@
 
     def __init__(self) -> None:
         """Create a store without objects or faults."""
-        self.switches = Switches()
-        self.calls: dict[str, int] = {}
-        self.listed: dict[str, str] = {}
+        self.switches = FaultSwitches()
+        self.calls_by_role: dict[str, int] = {}
+        self.instance_states: dict[str, str] = {}
         self._stored: dict[str, _VersionedObject] = {}
         self._revision = 0
         self._events: list[dict[str, Any]] = []
@@ -75,7 +78,7 @@
             await connection.async_respond(self._handle_switches(request))
             return
         role = request.headers.get('hornbeamdeck-role', 'none')
-        self.calls[role] = self.calls.get(role, 0) + 1
+        self.calls_by_role[role] = self.calls_by_role.get(role, 0) + 1
         if self.switches.is_down:
             return
         response = await self._async_route(request)
@@ -106,10 +109,10 @@
             timeout_ms=PROBE_TIMEOUT_MS,
         )
         if isinstance(connected, Err):
-            self.listed.pop(address, None)
+            self.instance_states.pop(address, None)
             return
         await connected.ok_value.close()
-        self.listed[address] = status['state']
+        self.instance_states[address] = status['state']
 
     async def _async_route(self, request: HttpRequest) -> HttpResponse:
         path = unquote(request.path)
@@ -134,16 +137,16 @@
         if request.path == '/standin/switches':
             self.switches = self.switches._replace(**body)
         if request.path == '/standin/instances':
-            self.listed.update(body)
+            self.instance_states.update(body)
         return json_response(
             HTTPStatus.OK,
-            {'switches': self.switches._asdict(), 'calls': self.calls},
+            {'switches': self.switches._asdict(), 'calls': self.calls_by_role},
         )
 
     def _instances(self) -> list[dict[str, str]]:
         return [
             {'address': address, 'state': state}
-            for address, state in self.listed.items()
+            for address, state in self.instance_states.items()
         ]
 
     def _list(self, prefix: str) -> dict[str, Any]:
@@ -161,7 +164,7 @@
         if since < self._oldest_revision:
             return json_response(HTTPStatus.GONE, {})
         try:
-            events = await async_within(
+            events = await async_with_timeout(
                 int(query_fields['timeout_ms'][0]),
                 self._async_wait_for_events(prefix, since),
             )
@@ -260,7 +263,7 @@
     :returns: the platform and its listener.
     """
     platform = PlatformStandin()
-    listener = await async_setup_web(address, platform.async_handle)
+    listener = await async_setup_http_server(address, platform.async_handle)
     probe_task: Task = await spawn(
         platform.async_probe_instances, lag_ms, daemon=True
     )
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -2,16 +2,16 @@
 
 from curio import TaskGroup, sleep, spawn
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from tests.support import desk_entry, on_fleet
+from tests.support import completion_entry, on_fleet
 
 PLAN = FleetPlan(instances=2, speeds=(1.0,))
 CALLS = 6
 
 
 async def _async_until_running(fleet: Fleet, count: int) -> None:
-    while fleet.engines[0].batch.running < count:
+    while fleet.engines[0].batch.running_requests < count:
         await sleep(0.005)
 
 
@@ -25,15 +25,15 @@
     async with TaskGroup() as calls:
         for number in range(CALLS):
             address = fleet.instances[number % 2].own.address
-            entry = desk_entry(output_tokens=60)
+            entry = completion_entry(output_tokens=60)
             await calls.spawn(async_call, entry, number, address)
         await _async_until_running(fleet, CALLS)
         for _ in range(2):
             await sleep(0.15)
             assert engine.on_cut is not None
             await engine.on_cut()
-    assert [each.is_whole for each in calls.results] == [True] * CALLS
-    assert set(engine.batch.records.runs.values()) == {1}
+    assert [each.is_complete for each in calls.results] == [True] * CALLS
+    assert set(engine.batch.counters.runs.values()) == {1}
 
 
 @on_fleet(PLAN)
@@ -42,7 +42,9 @@
     during a response and restarts without it; the caller must see an error.
     """
     address = fleet.instances[0].own.address
-    call = await spawn(async_call, desk_entry(output_tokens=200), 1, address)
+    call = await spawn(
+        async_call, completion_entry(output_tokens=200), 1, address
+    )
     await _async_until_running(fleet, 1)
     await sleep(0.1)
     outage = fleet.engines[0].on_outage
@@ -50,7 +52,7 @@
     await outage(50)
     record = await call.join()
     assert record.outcome == 'unknown'
-    assert not record.is_whole
+    assert not record.is_complete
 
 
 @on_fleet(PLAN)
@@ -61,17 +63,17 @@
     caller has disconnected.
     """
     # Without a cancel request the engine waits a minute for a resume.
-    fleet.engines[0].streams.grace_s = 60
+    fleet.engines[0].streams.resume_grace_s = 60
     address = fleet.instances[0].own.address
-    entry = desk_entry(output_tokens=5000)
+    entry = completion_entry(output_tokens=5000)
     call = await spawn(async_call, entry, 1, address)
     await _async_until_running(fleet, 1)
     await sleep(0.1)
     await call.cancel()
     for _ in range(500):
-        if not fleet.engines[0].batch.running:
+        if not fleet.engines[0].batch.running_requests:
             break
         await sleep(0.01)
-    assert not fleet.engines[0].batch.running
-    load = fleet.owner_of('desk').parts.scheduler.cells['desk'].loads
+    assert not fleet.engines[0].batch.running_requests
+    load = fleet.owner_of('desk').components.scheduler.cells['desk'].loads
     assert not load['engine-0'].runs
--- a/tests/demo/test_report.py
+++ b/tests/demo/test_report.py
@@ -2,24 +2,24 @@
 
 from typing import Any
 
-from hornbeamdeck.demo.caller import CallRecord
+from hornbeamdeck.demo.client import CallResult
 from hornbeamdeck.demo.report import (
-    failed_outcomes,
     format_table,
     percentile,
-    tier_rows,
+    summarize_by_tier,
+    unmet_outcomes,
 )
-from tests.support import desk_entry
+from tests.support import completion_entry
 
 
-def _record(**changes: Any) -> CallRecord:
-    record = CallRecord(
-        entry=desk_entry(),
+def _record(**changes: Any) -> CallResult:
+    record = CallResult(
+        entry=completion_entry(),
         status=200,
         outcome='ran',
         code='',
         request_id='r1',
-        is_whole=True,
+        is_complete=True,
         first_token_ms=20,
         total_ms=100,
         retry_after_s=0,
@@ -28,15 +28,15 @@
 
 
 def test_no_failure_without_unmet_outcome() -> None:
-    assert failed_outcomes([_record()], {'r1': 1}, {'k': 1}) == []
+    assert unmet_outcomes([_record()], {'r1': 1}, {'k': 1}) == []
 
 
 def test_each_unmet_outcome_is_reported() -> None:
     """New users judge the system by the demo. It must not print `every stated
     outcome was met` when an outcome was not met.
     """
-    refused = _record(status=503, outcome='not_run', is_whole=False)
-    truncated = _record(is_whole=False)
+    refused = _record(status=503, outcome='not_run', is_complete=False)
+    truncated = _record(is_complete=False)
     late = _record(total_ms=11_000)
     successful = [_record()] * 100
     cases = [
@@ -47,14 +47,14 @@
         ([late], {'r1': 1}, {}, 'only 0 came in time'),
     ]
     for records, runs, keys, expected in cases:
-        failures = failed_outcomes(records, runs, keys)
+        failures = unmet_outcomes(records, runs, keys)
         assert len(failures) == 1
         assert expected in failures[0]
 
 
 def test_table_counts_results_by_tier() -> None:
-    long = desk_entry(tier='long')
-    rows = tier_rows([_record(), _record(entry=long, status=503)])
+    long = completion_entry(tier='long')
+    rows = summarize_by_tier([_record(), _record(entry=long, status=503)])
     assert [(row.tier, row.asked, row.shed) for row in rows] == [
         ('long', 1, 1),
         ('urgent', 1, 0),
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -2,23 +2,23 @@
 
 from result import Err, Ok, Result
 
-from hornbeamdeck.connection.platform import (
-    PlatformDown,
-    PlatformError,
+from hornbeamdeck.connection.store_client import (
     StoredObject,
+    StoreError,
+    StoreUnavailable,
     VersionConflict,
 )
 
-DOWN = 'down'
-LOST = 'lost'
+FAULT_DOWN = 'down'
+FAULT_LOST_RESPONSE = 'lost'
 
 
 class FakePlatform:
     """A platform with conditional writes and simulated faults.
 
     While `fault` is set, calls fail before (`down`) or after (`lost`) they take
-    effect. Faults in `coming` apply to the next calls, one for each, and take
-    precedence over `fault`.
+    effect. Faults in `next_faults` apply to the next calls, one for each, and
+    take precedence over `fault`.
     """
 
     def __init__(self) -> None:
@@ -26,18 +26,18 @@
         self.stored: dict[str, StoredObject] = {}
         self.version = 0
         self.fault = ''
-        self.coming: list[str] = []
+        self.next_faults: list[str] = []
 
     async def async_get(
         self,
         key: str,
         *,
         role: str,
-    ) -> Result[StoredObject | None, PlatformDown]:
+    ) -> Result[StoredObject | None, StoreUnavailable]:
         """Read an object."""
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         return Ok(self.stored.get(key))
 
     async def async_put(
@@ -48,15 +48,15 @@
         expected: int | None,
         role: str,
         timeout_ms: int = 0,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Write an object if its current version is the expected one.
 
         :param expected: the expected version; `None` if there must be no
             object.
         """
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.version += 1
@@ -69,24 +69,24 @@
         *,
         expected: int,
         role: str,
-    ) -> Result[int, PlatformError]:
+    ) -> Result[int, StoreError]:
         """Delete an object if its current version is the expected one."""
         fault = self._next_fault()
-        if fault == DOWN:
-            return Err(PlatformDown(role))
+        if fault == FAULT_DOWN:
+            return Err(StoreUnavailable(role))
         if not self._meets_condition(key, expected):
             return Err(VersionConflict())
         self.stored.pop(key)
         return self._write_result(fault)
 
     def _next_fault(self) -> str:
-        return self.coming.pop(0) if self.coming else self.fault
+        return self.next_faults.pop(0) if self.next_faults else self.fault
 
     def _meets_condition(self, key: str, expected: int | None) -> bool:
         stored = self.stored.get(key)
         return expected == (stored.version if stored else None)
 
-    def _write_result(self, fault: str) -> Result[int, PlatformError]:
-        if fault == LOST:
-            return Err(PlatformDown('the response was lost'))
+    def _write_result(self, fault: str) -> Result[int, StoreError]:
+        if fault == FAULT_LOST_RESPONSE:
+            return Err(StoreUnavailable('the response was lost'))
         return Ok(self.version)
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -8,9 +8,9 @@
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.client import ClientConnection
 from hornbeamdeck.connection.http import HttpRequest, HttpResponse
-from hornbeamdeck.platform.__main__ import WIRES
-from hornbeamdeck.process.front import Front
-from hornbeamdeck.process.front_settings import FrontSettings
+from hornbeamdeck.platform.__main__ import PLATFORM_ADAPTER
+from hornbeamdeck.process.gateway import Gateway
+from hornbeamdeck.process.gateway_settings import GatewaySettings
 from tests.platform.standins import EngineStandin, StoreStandin, document
 from tests.support import async_fetch
 
@@ -20,18 +20,18 @@
 Scenario = Callable[['PlatformFleet'], Awaitable[None]]
 
 
-def front_settings(
+def make_gateway_settings(
     store: Address,
     number: int = 0,
     **changes: Any,
-) -> FrontSettings:
+) -> GatewaySettings:
     """Make gateway settings with ports chosen by the operating system.
 
     :param number: distinguishes the instance IDs of a fleet.
     :param changes: settings that replace the defaults.
     """
     any_port = '127.0.0.1:0'
-    return FrontSettings.from_config(
+    return GatewaySettings.from_config(
         {
             'instance_id': f'front-{number}',
             'availability_zone': 'z1',
@@ -74,7 +74,7 @@
             EngineStandin('counter-1'),
             EngineStandin('counter-2'),
         ]
-        self.fronts: list[Front] = []
+        self.gateways: list[Gateway] = []
 
     async def async_start(self, count: int) -> None:
         """Start store, engines and gateways, and wait until all are ready."""
@@ -86,43 +86,44 @@
             entry = engine.entry(service)
             await self.store.async_put('servers', engine.name, entry)
         for number in range(count):
-            await self.async_add_front(number)
+            await self.async_add_gateway(number)
         await self.async_until(
-            lambda: all(front.is_ready for front in self.fronts)
+            lambda: all(gateway.is_ready for gateway in self.gateways)
         )
         await self.async_until(
             lambda: all(
-                len(front.parts.beats.attendance.usable()) == count
-                for front in self.fronts
+                len(gateway.components.heartbeats.liveness.serving_instances())
+                == count
+                for gateway in self.gateways
             ),
         )
 
-    async def async_add_front(
+    async def async_add_gateway(
         self,
         number: int,
         *,
         store: Address | None = None,
         seeds: tuple[str, ...] = (),
-    ) -> Front:
+    ) -> Gateway:
         """Start one more gateway.
 
         :param store: a store to use instead of the fleet's.
         :param seeds: peer addresses of running gateways.
         """
-        settings = front_settings(
+        settings = make_gateway_settings(
             store or self.store_address,
             number,
             seed_peers=list(seeds),
         )
-        front = Front(settings, WIRES)
-        await front.async_start()
-        self.fronts.append(front)
-        return front
+        gateway = Gateway(settings, PLATFORM_ADAPTER)
+        await gateway.async_start()
+        self.gateways.append(gateway)
+        return gateway
 
     async def async_stop(self) -> None:
         """Kill all gateways."""
-        for front in self.fronts:
-            await front.async_kill()
+        for gateway in self.gateways:
+            await gateway.async_kill()
 
     async def async_until(self, condition: Callable[[], bool]) -> None:
         """Wait for a condition.
@@ -138,24 +139,24 @@
     async def async_call(
         self,
         path: str,
-        front: int = 0,
+        gateway: int = 0,
         *,
         tokens: str = '',
         **headers: str,
     ) -> HttpResponse:
         """Send a request to a gateway as a client does.
 
-        :param front: index of the gateway in `fronts`.
+        :param gateway: index of the gateway in `gateways`.
         """
         return await async_fetch(
-            self.fronts[front].parts.membership.own.address,
+            self.gateways[gateway].components.membership.own_status.address,
             make_request(path, tokens=tokens, **headers),
         )
 
-    async def async_open(self, front: int = 0) -> ClientConnection:
+    async def async_open(self, gateway: int = 0) -> ClientConnection:
         """Open a client connection to a gateway."""
         opened = await ClientConnection.async_open(
-            self.fronts[front].parts.membership.own.address,
+            self.gateways[gateway].components.membership.own_status.address,
             timeout_ms=2000,
         )
         return opened.unwrap()
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -9,8 +9,12 @@
     failure_response,
     read_request,
 )
+from hornbeamdeck.request.gateway_request import (
+    EngineAttempt,
+    GatewayRequest,
+    ResponseVerdict,
+)
 from hornbeamdeck.request.outcome import NotRun, Unknown
-from hornbeamdeck.request.routed_ask import Dispatch, RoutedAsk, Verdict
 
 HEADERS = {
     'host': 'Walks.example:80',
@@ -29,18 +33,18 @@
     return HttpRequest('POST', '/a/b', 'q=1', {**HEADERS, **named}, b'body')
 
 
-def _decoded(**changes: str) -> RoutedAsk:
+def _decoded(**changes: str) -> GatewayRequest:
     return read_request(_request(**changes)).unwrap()
 
 
 def test_request_is_decoded() -> None:
     decoded = _decoded()
     assert decoded.host == 'walks.example'
-    assert decoded.key == 'some-key'
-    assert decoded.patience_ms == 1500
+    assert decoded.bearer_key == 'some-key'
+    assert decoded.client_timeout_ms == 1500
     assert (decoded.prompt_tokens, decoded.output_tokens) == (1460, 80)
     assert decoded.expected_tokens == 40
-    assert decoded.prompt_parts == ('5c1e07a2', 'e4402b7d')
+    assert decoded.prompt_part_ids == ('5c1e07a2', 'e4402b7d')
 
 
 @pytest.mark.parametrize('text', ['', 'x', '-5', '9' * 5000, '١٢', '1e9', ','])
@@ -50,7 +54,7 @@
         hornbeamdeck_length_hint=text,
         hornbeamdeck_deadline_ms=text,
     )
-    assert decoded.patience_ms > 0
+    assert decoded.client_timeout_ms > 0
     assert 0 <= decoded.prompt_tokens <= 10_000_000
 
 
@@ -90,7 +94,7 @@
         x_private='1',
         last_event_id='3',
     )
-    headers = engine_headers(decoded, Dispatch('e1', 'guides', 900, '7'))
+    headers = engine_headers(decoded, EngineAttempt('e1', 'guides', 900, '7'))
     assert headers == {
         'host': 'Walks.example:80',
         'hornbeamdeck-request-id': 'id-1',
@@ -108,33 +112,33 @@
 @pytest.mark.parametrize(
     ('status', 'headers', 'verdict'),
     [
-        (200, {'hornbeamdeck-response-seal': 's'}, Verdict.RAN),
-        (200, {}, Verdict.NOT_ITS_ANSWER),
-        (500, {'hornbeamdeck-response-seal': 's'}, Verdict.RAN),
-        (504, {}, Verdict.RAN),
-        (503, {'hornbeamdeck-not-executed': '1'}, Verdict.NOT_RUN),
-        (503, {}, Verdict.NOT_ITS_ANSWER),
-        (429, {}, Verdict.NOT_ITS_ANSWER),
-        (421, {}, Verdict.OTHER_ENGINE),
+        (200, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
+        (200, {}, ResponseVerdict.INVALID_RESPONSE),
+        (500, {'hornbeamdeck-response-seal': 's'}, ResponseVerdict.RAN),
+        (504, {}, ResponseVerdict.RAN),
+        (503, {'hornbeamdeck-not-executed': '1'}, ResponseVerdict.REJECTED),
+        (503, {}, ResponseVerdict.INVALID_RESPONSE),
+        (429, {}, ResponseVerdict.INVALID_RESPONSE),
+        (421, {}, ResponseVerdict.MISDIRECTED),
         (
             200,
             {
                 'hornbeamdeck-response-seal': 's',
                 'hornbeamdeck-request-id': 'id-2',
             },
-            Verdict.NOT_ITS_ANSWER,
+            ResponseVerdict.INVALID_RESPONSE,
         ),
         (
             200,
             {'hornbeamdeck-response-seal': 's', 'content-encoding': 'gzip'},
-            Verdict.NOT_ITS_ANSWER,
+            ResponseVerdict.INVALID_RESPONSE,
         ),
     ],
 )
 def test_only_engine_header_shows_that_request_did_not_run(
     status: int,
     headers: dict[str, str],
-    verdict: Verdict,
+    verdict: ResponseVerdict,
 ) -> None:
     assert (
         classify_response(_decoded(), HttpResponse(status, headers, b''))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hornbeamdeck.platform.documents import parse_configuration, parse_engine
-from hornbeamdeck.version.routed import Route, RoutedConfiguration
+from hornbeamdeck.version.gateway import GatewayConfiguration, Route
 from tests.platform.standins import document, route
 
 ENTRY: dict[str, Any] = {
@@ -20,12 +20,12 @@
 }
 
 
-def _parse_document(**changes: Any) -> RoutedConfiguration:
+def _parse_document(**changes: Any) -> GatewayConfiguration:
     text = json.dumps(document(**changes))
     return parse_configuration(text, 7).unwrap()
 
 
-def _find_route(configuration: RoutedConfiguration, path: str) -> Route | None:
+def _find_route(configuration: GatewayConfiguration, path: str) -> Route | None:
     return configuration.find_route('walks.example', path)
 
 
@@ -90,7 +90,7 @@
     assert engine is not None
     assert str(engine.address) == '10.0.0.1:80'
     assert engine.born_ms == 12
-    assert not engine.is_leaving
+    assert not engine.is_draining
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_lagging_instance.py
+++ b/tests/platform/test_stale_instance.py
@@ -4,7 +4,7 @@
 
 from hornbeamdeck.clock import now_ms
 from hornbeamdeck.const import MILLIS_PER_SECOND
-from hornbeamdeck.process.store_reader import WATCH_MS
+from hornbeamdeck.process.store_reader import WATCH_TIMEOUT_MS
 from tests.platform.fleet import PlatformFleet, on_platform
 from tests.platform.standins import document, route
 
@@ -15,21 +15,21 @@
 
 async def _async_stop_background_tasks(fleet: PlatformFleet) -> None:
     """Cancel all background tasks to simulate a starved process."""
-    for task in fleet.fronts[0]._tasks:
+    for task in fleet.gateways[0]._tasks:
         await task.cancel()
 
 
 async def _async_wait_until_stale(fleet: PlatformFleet) -> None:
     """Wait until the instance's data is older than STALE_AFTER_MS."""
-    parts = fleet.fronts[0].parts
+    components = fleet.gateways[0].components
     await fleet.async_until(
         lambda: (
-            parts.freshness.age_ms(
-                parts.follower.configuration.version,
+            components.freshness.age_ms(
+                components.follower.configuration.version,
                 now_ms(),
             )
             > STALE_AFTER_MS
-            and parts.directory.age_ms(now_ms()) > STALE_AFTER_MS
+            and components.directory.age_ms(now_ms()) > STALE_AFTER_MS
         ),
     )
 
@@ -88,7 +88,7 @@
 ) -> None:
     """Guards against a final 404 while the store does not respond."""
     fleet.store.is_silent = True
-    await sleep(WATCH_MS / MILLIS_PER_SECOND)
+    await sleep(WATCH_TIMEOUT_MS / MILLIS_PER_SECOND)
     await fleet.store.async_put('config', 'main', _document_with_added_route())
     await _async_wait_until_stale(fleet)
     refused = await fleet.async_call('/added/x')
--- a/tests/process/test_front_metrics.py
+++ b/tests/process/test_gateway_metrics.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_metrics_page import make_registry, render
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_metrics_export import make_registry, render
 
 
 def test_recorded_counts_are_exported() -> None:
     """Guards against exported metrics that differ from the recorded counts."""
-    metrics = FrontMetrics()
-    metrics.ended('desk', 0, 'answered', 300)
-    metrics.ended('desk', 0, 'answered', 30_000)
-    metrics.first_token(120)
-    metrics.refused('no_route')
+    metrics = GatewayMetrics()
+    metrics.count_request('desk', 0, 'answered', 300)
+    metrics.count_request('desk', 0, 'answered', 30_000)
+    metrics.record_first_token(120)
+    metrics.count_refusal('no_route')
     metrics.count_store_call('engines')
     metrics.count_peer_bytes('sent', 17)
     metrics.count_dropped_log_line()
--- a/tests/process/test_beats.py
+++ b/tests/process/test_heartbeats.py
@@ -11,20 +11,20 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.connection.address import Address
-from hornbeamdeck.connection.platform import StoredObject
+from hornbeamdeck.connection.store_client import StoredObject
 from hornbeamdeck.process import (
-    attendance,
-    beat_pace,
-    beats,
+    heartbeat_pace,
+    heartbeats,
+    liveness,
     rendezvous,
-    suspects,
-    told,
+    sent_updates,
+    suspected_instances,
 )
 from hornbeamdeck.process import membership as membership_module
 from hornbeamdeck.process.engine_directory import EngineDirectory
 from hornbeamdeck.process.freshness import Freshness
 from hornbeamdeck.process.membership import (
-    STATE_LEAVING,
+    STATE_DRAINING,
     STATE_LIVE,
     InstanceStatus,
     Membership,
@@ -71,18 +71,18 @@
         self.outbox = _RecordingPeers()
         self.freshness = Freshness()
         self.activate()
-        self.beats = beats.Beats(
-            beats.BeatParts(
+        self.heartbeats = heartbeats.Heartbeats(
+            heartbeats.HeartbeatDependencies(
                 membership=Membership(_status(name)),
                 peers=cast(Peers, self.outbox),
                 freshness=self.freshness,
                 directory=EngineDirectory(),
                 spending=SpendingLog(8000),
-                reports=SpendingReports(8000),
-                version=lambda: VERSION,
-                slowness=dict,
-                learn_slowness=lambda _learned: None,
-                on_engines=lambda: None,
+                spending_reports=SpendingReports(8000),
+                configuration_version=lambda: VERSION,
+                engine_slowness=dict,
+                apply_slowness=lambda _learned: None,
+                on_engines_changed=lambda: None,
                 is_store_reached=lambda: True,
                 is_first_start=False,
             ),
@@ -106,14 +106,14 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> _SimulatedTime:
     """Replace the clock of the modules under test."""
     simulated = _SimulatedTime()
-    for module in (attendance, beats, suspects):
+    for module in (liveness, heartbeats, suspected_instances):
         monkeypatch.setattr(module, 'now_ms', simulated.now_ms)
     return simulated
 
 
 async def _async_exchange(sender: _Node, receiver: _Node, delay: Any) -> None:
     sender.activate()
-    request = sender.beats._make_heartbeat(receiver.name)
+    request = sender.heartbeats._make_heartbeat(receiver.name)
     sender.clock.true_ms += next(delay)
     receiver.activate()
     responses: list[Beat] = []
@@ -121,10 +121,12 @@
     async def _async_deliver(message: Message) -> None:
         responses.append(cast(Beat, message))
 
-    await receiver.beats.async_answer(sender.name, request, _async_deliver)
+    await receiver.heartbeats.async_handle_request(
+        sender.name, request, _async_deliver
+    )
     receiver.clock.true_ms += next(delay)
     sender.activate()
-    await sender.beats.async_receive(receiver.name, responses[0])
+    await sender.heartbeats.async_handle_response(receiver.name, responses[0])
 
 
 def _exchange_all(
@@ -167,16 +169,16 @@
 def _send_first_heartbeat(sender: _Node, receiver: _Node) -> None:
     """Deliver a heartbeat before its receiver has sent any."""
     sender.activate()
-    beat = sender.beats._make_heartbeat(receiver.name)
+    heartbeat = sender.heartbeats._make_heartbeat(receiver.name)
     receiver.activate()
 
     async def _async_deliver(_message: Message) -> None:
         """Discard the response."""
 
     curio.run(
-        receiver.beats.async_answer,
+        receiver.heartbeats.async_handle_request,
         sender.name,
-        beat,
+        heartbeat,
         _async_deliver,
     )
 
@@ -216,11 +218,11 @@
     between instances.
     """
     node = _Node(clock, 'one', 0)
-    assert node.beats._make_heartbeat('peer').status
-    assert not node.beats._make_heartbeat('peer').status
-    assert node.beats._make_heartbeat('another').status
-    node.beats.forget_told('peer')
-    assert node.beats._make_heartbeat('peer').status
+    assert node.heartbeats._make_heartbeat('peer').status
+    assert not node.heartbeats._make_heartbeat('peer').status
+    assert node.heartbeats._make_heartbeat('another').status
+    node.heartbeats.forget_sent('peer')
+    assert node.heartbeats._make_heartbeat('peer').status
 
 
 def test_changed_or_old_status_is_sent_again(
@@ -231,52 +233,56 @@
     stopped.
     """
     node = _Node(clock, 'one', 0)
-    node.beats._make_heartbeat('peer')
-    membership = node.beats._parts.membership
-    membership.own = membership.own._replace(state=STATE_LEAVING)
-    assert STATE_LEAVING in node.beats._make_heartbeat('peer').status
-    clock.true_ms += told.TELL_AGAIN_MS
-    assert node.beats._make_heartbeat('peer').status
+    node.heartbeats._make_heartbeat('peer')
+    membership = node.heartbeats._dependencies.membership
+    membership.own_status = membership.own_status._replace(state=STATE_DRAINING)
+    assert STATE_DRAINING in node.heartbeats._make_heartbeat('peer').status
+    clock.true_ms += sent_updates.STATUS_RESEND_MS
+    assert node.heartbeats._make_heartbeat('peer').status
 
 
-class _RecordingLinks(_RecordingPeers):
-    """Records messages; has a link to a peer after the first message to it."""
+class _ConnectedPeers(_RecordingPeers):
+    """Records messages; the first message to a peer opens a connection."""
 
     def __init__(self) -> None:
         super().__init__()
         self.contacted: list[str] = []
 
-    def has_link(self, peer_id: str) -> bool:
+    def has_connection(self, peer_id: str) -> bool:
         return peer_id in self.contacted
 
     async def async_send(self, peer_id: str, message: Message) -> None:
         await super().async_send(peer_id, message)
         self.contacted.append(peer_id)
 
-    async def async_drop(self, _peer_id: str) -> None:
+    async def async_disconnect(self, _peer_id: str) -> None:
         """Keep the record of contacted peers."""
 
 
-def _large_fleet(clock: _SimulatedTime) -> list[tuple[_Node, _RecordingLinks]]:
+def _large_fleet(
+    clock: _SimulatedTime,
+) -> list[tuple[_Node, _ConnectedPeers]]:
     names = [f'front-{number}' for number in range(FLEET)]
     fleet = []
     for name in names:
         node = _Node(clock, name, 0)
-        links = _RecordingLinks()
-        parts = node.beats._parts
-        node.beats._parts = parts._replace(peers=cast(Peers, links))
+        connections = _ConnectedPeers()
+        dependencies = node.heartbeats._dependencies
+        node.heartbeats._dependencies = dependencies._replace(
+            peers=cast(Peers, connections)
+        )
         for other in set(names) - {name}:
             change = StoredObject(
                 f'instances/{other}', 0, _status(other).to_text()
             )
-            parts.membership.note_status(change)
-        fleet.append((node, links))
+            dependencies.membership.apply_status(change)
+        fleet.append((node, connections))
     return fleet
 
 
-def _most_contacted(fleet: list[tuple[_Node, _RecordingLinks]]) -> int:
+def _most_contacted(fleet: list[tuple[_Node, _ConnectedPeers]]) -> int:
     contacted = Counter(
-        peer for _, links in fleet for peer in set(links.contacted)
+        peer for _, connections in fleet for peer in set(connections.contacted)
     )
     return max(contacted.values(), default=0)
 
@@ -288,7 +294,7 @@
     random.seed(1)
     fleet = _large_fleet(clock)
     for node, _ in fleet:
-        curio.run(node.beats.async_beat)
+        curio.run(node.heartbeats.async_send_heartbeats)
     assert 0 < _most_contacted(fleet) <= FLEET * 2 / 3
 
 
@@ -301,19 +307,24 @@
     random.seed(1)
     fleet = _large_fleet(clock)
     for node, _ in fleet:
-        membership = node.beats._parts.membership
-        for first in membership.ranked('fleet')[: attendance.INFORMED + 1]:
+        membership = node.heartbeats._dependencies.membership
+        for first in membership.ranked_ids('fleet')[
+            : liveness.HEARTBEAT_RECEIVERS + 1
+        ]:
             membership.suspect(first)
-        node.beats._targets()
-    clock.true_ms += beat_pace.PROBE_MS + 1
+        node.heartbeats._targets()
+    clock.true_ms += heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
     probed = Counter(
         target
         for node, _ in fleet
-        for target in node.beats._targets()
-        if target in node.beats._parts.membership.suspects
+        for target in node.heartbeats._targets()
+        if target in node.heartbeats._dependencies.membership.suspected
     )
     assert sum(probed.values()) == 0
-    assert node.beats._pace.beat_ms > beat_pace.BEAT_MS
+    assert (
+        node.heartbeats._pace.interval_ms
+        > heartbeat_pace.MIN_HEARTBEAT_INTERVAL_MS
+    )
 
 
 @given(st.integers(1, 2000))
@@ -321,19 +332,25 @@
     """Heartbeats are rarer in a large fleet. With too short a timeout, live
     members would alternate between live and down.
     """
-    pace = beat_pace.BeatPace(lambda: size)
-    assert pace.present_ms > 2 * pace.beat_ms
-    assert pace.present_ms >= pace.silence_ms
+    pace = heartbeat_pace.HeartbeatPace(lambda: size)
+    assert pace.liveness_timeout_ms > 2 * pace.interval_ms
+    assert pace.liveness_timeout_ms >= pace.silence_timeout_ms
 
 
 def test_small_fleet_probes_all_lost_peers_at_once() -> None:
     """Guards against two owners for seconds after a partition has healed."""
     lost = ['a', 'b', 'c', 'd']
-    small = beat_pace.BeatPace(lambda: 13)
-    assert set(small.probes(lost, beat_pace.PROBE_MS + 1)) == set(lost)
-    assert not small.probes(lost, beat_pace.PROBE_MS + 2)
-    large = beat_pace.BeatPace(lambda: FLEET)
-    assert len(large.probes(lost, 1_000_000)) == 1
+    small = heartbeat_pace.HeartbeatPace(lambda: 13)
+    assert set(
+        small.select_probe_targets(
+            lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
+        )
+    ) == set(lost)
+    assert not small.select_probe_targets(
+        lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2
+    )
+    large = heartbeat_pace.HeartbeatPace(lambda: FLEET)
+    assert len(large.select_probe_targets(lost, 1_000_000)) == 1
 
 
 def test_liveness_lists_the_fleet_only_a_few_times(
@@ -345,17 +362,19 @@
     """
     node, _ = _large_fleet(clock)[0]
     for number in range(1, FLEET):
-        node.beats.attendance.hear(f'front-{number}', 1, is_usable=True)
+        node.heartbeats.liveness.record_heartbeat(
+            f'front-{number}', 1, is_usable=True
+        )
     calls = []
-    known = Membership.known
+    known = Membership.known_peers
 
     def _known(membership: Membership) -> list[InstanceStatus]:
         calls.append(1)
         return known(membership)
 
-    monkeypatch.setattr(Membership, 'known', _known)
-    node.beats.attendance.present()
-    node.beats.attendance.share()
+    monkeypatch.setattr(Membership, 'known_peers', _known)
+    node.heartbeats.liveness.live_ids()
+    node.heartbeats.liveness.live_share()
     assert len(calls) < 10
 
 
@@ -374,8 +393,8 @@
         return loads(text)
 
     monkeypatch.setattr(json, 'loads', _loads)
-    for text in texts * attendance.INFORMED:
-        node.beats._apply_status(text)
+    for text in texts * liveness.HEARTBEAT_RECEIVERS:
+        node.heartbeats._apply_status(text)
     assert len(parsed) <= len(texts)
 
 
@@ -394,7 +413,7 @@
 
     monkeypatch.setattr(membership_module, 'ranking', _ranking)
     for _ in range(40):
-        node.beats.attendance.rank()
-        node.beats._targets()
-        assert node.beats._pace.beat_ms
+        node.heartbeats.liveness.rank()
+        node.heartbeats._targets()
+        assert node.heartbeats._pace.interval_ms
     assert len(sort_calls) <= 1
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -2,10 +2,10 @@
 
 from curio import TaskGroup, sleep
 
-from hornbeamdeck.demo.caller import CallRecord, async_call
+from hornbeamdeck.demo.client import CallResult, async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.process.instance import Instance
-from tests.support import desk_entry, on_fleet
+from tests.support import completion_entry, on_fleet
 
 WAITING = 50
 PLAN = FleetPlan(speeds=(1.0,), max_running=2, max_prompt_tokens=512)
@@ -19,23 +19,25 @@
     group: TaskGroup,
     instances: list[Instance],
 ) -> None:
-    entry = desk_entry(deadline_ms=30_000, output_tokens=4)
+    entry = completion_entry(deadline_ms=30_000, output_tokens=4)
     for number in range(WAITING):
         address = instances[number % len(instances)].own.address
         await group.spawn(async_call, entry, number, address)
 
 
 async def _async_until_waiting(instances: list[Instance], count: int) -> None:
-    while sum(each.parts.grants.waiting for each in instances) < count:
+    while (
+        sum(each.components.grants.waiting_count for each in instances) < count
+    ):
         await sleep(0.005)
 
 
 def _assert_each_ran_once(
     fleet: Fleet,
-    records: list[CallRecord],
+    records: list[CallResult],
 ) -> None:
     assert len(records) == WAITING
-    assert all(record.is_whole for record in records)
+    assert all(record.is_complete for record in records)
     runs = fleet.runs_by_request()
     assert set(runs.values()) == {1}
     assert {record.request_id for record in records} == set(runs)
@@ -71,7 +73,7 @@
     async with TaskGroup() as group:
         await _async_send_requests(group, others)
         await _async_until_waiting(others, WAITING - PLAN.max_running - 4)
-        owner.parts.scheduler.async_receive = _async_silent  # type: ignore[method-assign]
+        owner.components.scheduler.async_receive = _async_silent  # type: ignore[method-assign]
     _assert_each_ran_once(fleet, list(group.results))
 
 
@@ -84,7 +86,7 @@
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
-    entry = desk_entry(output_tokens=150)
+    entry = completion_entry(output_tokens=150)
     async with TaskGroup() as group:
         for number in range(PLAN.max_running):
             await group.spawn(async_call, entry, number, others[0].own.address)
@@ -92,13 +94,13 @@
             await sleep(0.005)
         await owner.async_kill()
         await sleep(0.2)
-        name = others[0].parts.membership.owner_of('desk')
+        name = others[0].components.membership.owner_of('desk')
         successor = next(
             each for each in others if each.own.instance_id == name
         )
-        load = successor.parts.scheduler.cells['desk'].loads['engine-0']
+        load = successor.components.scheduler.cells['desk'].loads['engine-0']
         assert len(load.runs) == PLAN.max_running
-    assert all(record.is_whole for record in group.results)
+    assert all(record.is_complete for record in group.results)
 
 
 @on_fleet(PLAN)
@@ -115,14 +117,14 @@
     address = ingress.own.address
     async with TaskGroup() as group:
         for number in range(PLAN.max_running):
-            entry = desk_entry(output_tokens=60)
+            entry = completion_entry(output_tokens=60)
             await group.spawn(async_call, entry, number, address)
-        load = owner.parts.scheduler.cells['desk'].loads['engine-0']
+        load = owner.components.scheduler.cells['desk'].loads['engine-0']
         while len(load.runs) < PLAN.max_running:
             await sleep(0.005)
-        ingress.parts.membership.suspect(owner.own.instance_id)
-        await ingress.parts.grants.async_review()
-    assert all(record.is_whole for record in group.results)
+        ingress.components.membership.suspect(owner.own.instance_id)
+        await ingress.components.grants.async_move_to_current_owners()
+    assert all(record.is_complete for record in group.results)
     for _ in range(200):
         if not load.runs:
             break
--- a/tests/request/test_issued_key.py
+++ b/tests/request/test_issued_key.py
@@ -7,11 +7,15 @@
 from hypothesis import strategies as st
 
 from hornbeamdeck.connection.http import HttpRequest
-from hornbeamdeck.demo.caller import async_call
-from hornbeamdeck.demo.document import team_key
+from hornbeamdeck.demo.client import async_call
+from hornbeamdeck.demo.configuration import team_key
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
 from hornbeamdeck.process.instance import Instance
-from hornbeamdeck.request.issued_key import is_issued, issue_key, read_key
+from hornbeamdeck.request.issued_key import (
+    is_issued,
+    issue_key,
+    verify_issued_key,
+)
 from tests.support import async_fetch, booking_entry, on_fleet
 
 PLAN = FleetPlan(instances=3, speeds=(1.0,))
@@ -29,12 +33,14 @@
 
 
 def test_issued_key_is_decoded() -> None:
-    decoded = read_key(_issue(), team='families', secret=SECRET).unwrap()
+    decoded = verify_issued_key(
+        _issue(), team='families', secret=SECRET
+    ).unwrap()
     assert (decoded.instance_id, decoded.incarnation) == ('i', 'x')
 
 
 def test_key_of_another_team_is_refused() -> None:
-    assert read_key(_issue(), team='sales', secret=SECRET).is_err()
+    assert verify_issued_key(_issue(), team='sales', secret=SECRET).is_err()
 
 
 @given(st.integers(0, 400), st.characters(codec='utf-8'))
@@ -47,7 +53,9 @@
     position %= len(key)
     changed = key[:position] + letter + key[position + 1 :]
     if changed != key and is_issued(changed):
-        assert read_key(changed, team='families', secret=SECRET).is_err()
+        assert verify_issued_key(
+            changed, team='families', secret=SECRET
+        ).is_err()
 
 
 async def _async_request_key(instance: Instance) -> str:
@@ -67,14 +75,14 @@
     """
     key = await _async_request_key(fleet.instances[0])
     fleet.platform.switches = fleet.platform.switches._replace(is_down=True)
-    before = fleet.platform.calls.get('claims', 0)
+    before = fleet.platform.calls_by_role.get('claims', 0)
     entry = booking_entry(key)
     for instance in fleet.instances:
         record = await async_call(entry, 1, instance.own.address)
-        assert record.is_whole
+        assert record.is_complete
         assert record.outcome == 'ran'
-    assert fleet.booking.runs == {key: 1}
-    assert fleet.platform.calls.get('claims', 0) == before
+    assert fleet.booking_service.runs == {key: 1}
+    assert fleet.platform.calls_by_role.get('claims', 0) == before
 
 
 @on_fleet(PLAN)
@@ -86,7 +94,7 @@
         for instance in fleet.instances * 3:
             address = instance.own.address
             await calls.spawn(async_call, booking_entry(key), 1, address)
-    assert fleet.booking.runs == {key: 1}
+    assert fleet.booking_service.runs == {key: 1}
     assert {each.outcome for each in calls.results} <= {'ran', 'unknown'}
 
 
@@ -108,7 +116,7 @@
         fleet.instances[1].own.address,
     )
     assert record.outcome == 'unknown'
-    assert fleet.booking.runs == {}
+    assert fleet.booking_service.runs == {}
 
 
 @on_fleet(PLAN)
@@ -121,6 +129,6 @@
     first = await async_call(booking_entry(key), 1, address)
     other = booking_entry(key)._replace(path='/bookings/special')
     second = await async_call(other, 1, address)
-    assert first.is_whole
+    assert first.is_complete
     assert (second.status, second.outcome) == (422, 'not_run')
-    assert fleet.booking.runs == {key: 1}
+    assert fleet.booking_service.runs == {key: 1}
--- a/tests/scheduling/routed.py
+++ b/tests/scheduling/engine_cell_factories.py
@@ -2,7 +2,7 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.process.engine_directory import Engine
-from hornbeamdeck.scheduling.cell_door import Shared
+from hornbeamdeck.scheduling.admission_control import SharedState
 from hornbeamdeck.scheduling.engine_cell import EngineCell
 from hornbeamdeck.scheduling.retry_budget import RetryBudget
 from hornbeamdeck.scheduling.token_quota import (
@@ -10,11 +10,11 @@
     QuotaView,
     TokenQuotas,
 )
-from hornbeamdeck.version.routed import EngineTraits, RoutedTeam
+from hornbeamdeck.version.gateway import EngineProperties, GatewayTeam
 from hornbeamdeck.wire import Enqueue, Message
 
-MODEL = EngineTraits(slots=4, tokens_per_event=6, memory_tokens=600_000)
-PLAIN = EngineTraits(slots=0, tokens_per_event=0, memory_tokens=0)
+MODEL = EngineProperties(slots=4, tokens_per_event=6, memory_tokens=600_000)
+PLAIN = EngineProperties(slots=0, tokens_per_event=0, memory_tokens=0)
 
 
 async def async_discard(_message: Message) -> None:
@@ -31,7 +31,7 @@
         address=Address('10.0.0.1', 80),
         availability_zone=zone,
         slots=slots,
-        is_leaving=False,
+        is_draining=False,
         born_ms=1,
     )
     return made._replace(**changes)  # type: ignore[arg-type]
@@ -39,21 +39,21 @@
 
 def make_team(
     name: str = 'guides', *, rate: float = 1000, burst: float = 1000
-) -> RoutedTeam:
+) -> GatewayTeam:
     """Create a team with a token limit."""
-    return RoutedTeam(
+    return GatewayTeam(
         name=name,
         priority=None,
         rate_per_s=rate,
         burst=burst,
-        plain_tokens=200,
+        default_request_tokens=200,
     )
 
 
 def make_quotas(
     *,
     spent: int = 0,
-    is_remembered: bool = True,
+    covers_window: bool = True,
     share: float = 1.0,
     is_first_start: bool = True,
     slack: float = 0,
@@ -62,7 +62,7 @@
     return TokenQuotas(
         QuotaView(
             spent=lambda _team: spent,
-            is_remembered=lambda: is_remembered,
+            covers_window=lambda: covers_window,
             share=lambda: share,
         ),
         QuotaRules(window_ms=8000, slack=slack),
@@ -70,13 +70,15 @@
     )
 
 
-def make_cell(*engines: Engine, traits: EngineTraits = MODEL) -> EngineCell:
+def make_cell(
+    *engines: Engine, properties: EngineProperties = MODEL
+) -> EngineCell:
     """Create a cell with engines and without team limits."""
     made = EngineCell(
-        Shared(quotas=make_quotas(), teams={}),
+        SharedState(quotas=make_quotas(), teams={}),
         RetryBudget(ratio=0.2, slack=20, window_ms=10_000),
     )
-    made.adopt(engines, traits, {})
+    made.update_engines(engines, properties, {})
     return made
 
 
@@ -105,12 +107,12 @@
 
 def enqueue(to: EngineCell, request: Enqueue, now: float = 0) -> object:
     """Enqueue a request and return its refusal, if any."""
-    return to.offer(request, sender='s', deliver=async_discard, now=now)
+    return to.enqueue(request, sender='s', deliver=async_discard, now=now)
 
 
 def granted(by: EngineCell, now: float = 0) -> list[tuple[str, str]]:
     """Return the current grants as pairs of request id and engine."""
     return [
-        (grant.ticket.request.request_id, grant.upstream)
-        for grant in by.grants(now)
+        (grant.queued.request.request_id, grant.upstream)
+        for grant in by.place_waiting(now)
     ]
--- /dev/null
+++ b/tests/scheduling/test_engine_crash_tracker.py
@@ -0,0 +1,52 @@
+"""Attribution of engine crashes to requests."""
+
+from hornbeamdeck.scheduling.engine_crash_tracker import (
+    POISON_CRASHES,
+    SAME_CRASH_MS,
+    EngineCrashTracker,
+)
+
+
+def test_only_runs_that_failed_with_the_engine_are_suspected() -> None:
+    tracker = EngineCrashTracker()
+    tracker.record_failed_run('e1', 'long-ago', 0)
+    tracker.record_failed_run('e1', 'beside', 9000)
+    tracker.record_failed_run('e2', 'elsewhere', 9000)
+    assert tracker.record_crash('e1', 9000 + SAME_CRASH_MS / 2) == 'beside'
+    assert tracker.crash_count('beside', 10_000) == 1
+    assert not tracker.crash_count('long-ago', 10_000)
+    assert not tracker.crash_count('elsewhere', 10_000)
+
+
+def test_one_crash_is_counted_once() -> None:
+    """Ten connections are refused after one crash. If each counted, the
+    requests that ran on the engine would be refused as if they had crashed ten
+    engines.
+    """
+    tracker = EngineCrashTracker()
+    tracker.record_failed_run('e1', 'beside', 0)
+    for moment in range(10):
+        tracker.record_crash('e1', moment)
+    assert tracker.crash_count('beside', 100) == 1
+
+
+def test_crashes_counted_by_another_owner_are_kept() -> None:
+    """An owner that has counted two crashes dies. If the count were lost, the
+    request that caused them would crash three more engines under each next
+    owner.
+    """
+    tracker = EngineCrashTracker()
+    tracker.merge_crash_count('bad', 2, 0)
+    tracker.merge_crash_count('bad', 1, 10)
+    assert tracker.crash_count('bad', 20) == 2
+    tracker.record_failed_run('e1', 'bad', 20)
+    tracker.record_crash('e1', 30)
+    assert tracker.crash_count('bad', 40) == POISON_CRASHES
+    assert tracker.is_confirmed_poison('bad', 40)
+
+
+def test_an_answered_request_is_cleared() -> None:
+    tracker = EngineCrashTracker()
+    tracker.merge_crash_count('good', 2, 0)
+    tracker.record_answer('good')
+    assert not tracker.crash_count('good', 10)
--- a/tests/scheduling/test_tier_queue.py
+++ b/tests/scheduling/test_tier_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hornbeamdeck.scheduling.ticket import Ticket
+from hornbeamdeck.scheduling.queued_request import QueuedRequest
 from hornbeamdeck.scheduling.tier_queue import TierQueue
 from hornbeamdeck.wire import Enqueue, Message
 
@@ -16,8 +16,10 @@
     """Discard a message."""
 
 
-def ticket(name: str, team: str, tokens: int, deadline_ms: float) -> Ticket:
-    """Create a ticket."""
+def queued(
+    name: str, team: str, tokens: int, deadline_ms: float
+) -> QueuedRequest:
+    """Create a queued request."""
     request = Enqueue(
         request_id=name,
         cell='desk',
@@ -28,7 +30,7 @@
         output_tokens=0,
         fingerprint=name,
     )
-    return Ticket(request, 'sender', _async_discard, deadline_ms, tokens)
+    return QueuedRequest(request, 'sender', _async_discard, deadline_ms, tokens)
 
 
 STEPS = st.lists(
@@ -48,10 +50,10 @@
 @given(STEPS)
 def test_no_request_is_lost_or_served_twice(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     queue = TierQueue()
-    waiting: dict[str, Ticket] = {}
+    waiting: dict[str, QueuedRequest] = {}
     for number, step in enumerate(steps):
         if step[0] == 'push':
-            pushed = ticket(f'r{number}', *step[1:])
+            pushed = queued(f'r{number}', *step[1:])
             queue.push(pushed)
             waiting[f'r{number}'] = pushed
         elif waiting:
@@ -63,11 +65,11 @@
         assert abs(queue.service_ms - expected) < 0.001
 
 
-def _remove_one(queue: TierQueue, action: str) -> Ticket:
+def _remove_one(queue: TierQueue, action: str) -> QueuedRequest:
     if action == 'displace':
         newest = queue.newest_of_largest_team()
         return queue.remove(newest.request.request_id)
-    following = queue.next_ticket().request.request_id
+    following = queue.next_request().request.request_id
     if action == 'serve':
         return queue.serve(following, 1)
     return queue.remove(following)
@@ -77,7 +79,7 @@
 def test_earliest_deadline_first_within_a_team(deadlines: list[int]) -> None:
     queue = TierQueue()
     for number, deadline_ms in enumerate(deadlines):
-        queue.push(ticket(f'r{number}', 'guides', 10, deadline_ms))
+        queue.push(queued(f'r{number}', 'guides', 10, deadline_ms))
     served = [_remove_one(queue, 'serve').deadline_ms for _ in deadlines]
     assert served == sorted(deadlines)
 
@@ -89,9 +91,9 @@
     """
     queue = TierQueue()
     for number, tokens in enumerate(sizes):
-        queue.push(ticket(f'a{number}', 'guides', tokens, number))
+        queue.push(queued(f'a{number}', 'guides', tokens, number))
         for copy in range(5):
-            queue.push(ticket(f'b{number}-{copy}', 'sales', tokens, number))
+            queue.push(queued(f'b{number}-{copy}', 'sales', tokens, number))
     served: Counter[str] = Counter()
     while served['guides'] + served['sales'] < sum(sizes):
         removed = _remove_one(queue, 'serve')
@@ -105,10 +107,10 @@
     """
     queue = TierQueue()
     for number in range(100):
-        queue.push(ticket(f'a{number}', 'guides', 10, number))
+        queue.push(queued(f'a{number}', 'guides', 10, number))
     for _ in range(50):
         _remove_one(queue, 'serve')
     for late in range(100):
-        queue.push(ticket(f'b{late}', 'sales', 10, late))
+        queue.push(queued(f'b{late}', 'sales', 10, late))
     turns = [_remove_one(queue, 'serve').request.team for _ in range(20)]
     assert 8 <= turns.count('guides') <= 12
--- a/tests/test_pages.py
+++ b/tests/test_metrics_documentation.py
@@ -4,12 +4,12 @@
 
 from prometheus_client import CollectorRegistry
 
-from hornbeamdeck.demo.caller import async_call
+from hornbeamdeck.demo.client import async_call
 from hornbeamdeck.demo.fleet import Fleet, FleetPlan
-from hornbeamdeck.process.front_metrics import FrontMetrics
-from hornbeamdeck.process.front_metrics_page import make_registry
+from hornbeamdeck.process.gateway_metrics import GatewayMetrics
+from hornbeamdeck.process.gateway_metrics_export import make_registry
 from hornbeamdeck.process.metrics import Metrics
-from tests.support import booking_entry, desk_entry, on_fleet
+from tests.support import booking_entry, completion_entry, on_fleet
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -29,8 +29,8 @@
         for line in page.splitlines()
         if line.startswith('| `')
     }
-    front = make_registry(FrontMetrics())
-    assert listed == _metric_names(Metrics().registry) | _metric_names(front)
+    gateway = make_registry(GatewayMetrics())
+    assert listed == _metric_names(Metrics().registry) | _metric_names(gateway)
 
 
 @on_fleet(FleetPlan(instances=2, speeds=(1.0,)))
@@ -39,21 +39,21 @@
     from it that there is no problem.
     """
     for number, instance in enumerate(fleet.instances):
-        await async_call(desk_entry(), number, instance.own.address)
+        await async_call(completion_entry(), number, instance.own.address)
         await async_call(
             booking_entry(f'key-{number}'),
             number,
             instance.own.address,
         )
         await async_call(
-            desk_entry(service='oak'),
+            completion_entry(service='oak'),
             number,
             instance.own.address,
         )
     recorded = {
         sample.name.removesuffix('_count')
         for instance in fleet.instances
-        for family in instance.parts.metrics.registry.collect()
+        for family in instance.components.metrics.registry.collect()
         for sample in family.samples
         if sample.value
     }
