--- a/hornbeamdeck/request/endpoints.py
+++ b/hornbeamdeck/request/endpoints.py
@@ -88,7 +88,7 @@
 
 def _entries(
     routing: RouterContext,
-    _parts: AnswerContext,
+    _context: AnswerContext,
     _team: Team,
     request_id: str,
 ) -> HttpResponse:
--- a/hornbeamdeck/request/engine_attempts.py
+++ b/hornbeamdeck/request/engine_attempts.py
@@ -24,8 +24,8 @@
 __all__ = ('EngineAttempts',)
 
 # If a request may be sent to another engine, a silent engine is abandoned after
-# this many times the objective. A stream that may be resumed is abandoned after
-# this many times its allowed gap.
+# this many times the objective. For a stream that may be resumed, it is this
+# many times the allowed gap if that is longer.
 MAX_SILENT_OBJECTIVES: Final = 3
 MAX_SILENT_GAPS: Final = 3
 EVENT_STREAM: Final = 'text/event-stream'
@@ -45,8 +45,10 @@
         """Initialize; nothing has been sent yet."""
         self.response: HttpResponse | None = None
         self.cause = ''
-        self.first_ms = 0.0
-        self.begun_ms = 0.0
+        # From sending an attempt to the first byte of its response.
+        self.first_byte_ms = 0.0
+        # From the arrival of the request to the first byte of any response.
+        self.arrival_to_first_byte_ms = 0.0
         self.longest_gap_ms = 0.0
         self.is_possibly_executing = False
         self.last_event_id = admission.request.last_event_id
@@ -143,9 +145,9 @@
         is_stream = EVENT_STREAM in head.headers.get('content-type', '')
         if head.status == HTTPStatus.OK and is_stream:
             return await self._async_relay_stream(head, sent_ms)
-        return await self._async_read_whole(head, sent_ms)
+        return await self._async_read_complete(head, sent_ms)
 
-    async def _async_read_whole(
+    async def _async_read_complete(
         self, head: HttpResponse, sent_ms: float
     ) -> RunEnd:
         connection = self._engine_connection.connection
@@ -156,12 +158,12 @@
             self.cause = body.err_value.cause
             return RunEnd.FAILED
         self._record_first_byte(sent_ms)
-        whole = head._replace(body=body.ok_value)
+        complete = head._replace(body=body.ok_value)
         if self._caller.has_response_started:
             # A stream was to be resumed, but this response is not a stream.
             self.cause = f'not a stream, status {head.status}'
             return RunEnd.FAILED
-        self.response = self._context.dialect.caller_response(whole)
+        self.response = self._context.dialect.caller_response(complete)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.cause = f'status {head.status}'
             return RunEnd.ERRORED
@@ -214,13 +216,13 @@
             await self._caller.async_start_response(
                 response.status, response.headers
             )
-        if not self.first_ms:
+        if not self.first_byte_ms:
             self._record_first_byte(sent_ms)
             await self._context.report_first_token(
                 self._admission.request.request_id,
-                self.first_ms,
+                self.first_byte_ms,
             )
-            self._context.metrics.record_first_token(self.first_ms)
+            self._context.metrics.record_first_token(self.first_byte_ms)
         self._record_gap()
         encoded = b''.join(event.encoded for event in unsent)
         relayed = await self._caller.async_send_chunk(encoded)
@@ -228,8 +230,10 @@
 
     def _record_first_byte(self, sent_ms: float) -> None:
         now = now_ms()
-        self.first_ms = now - sent_ms
-        self.begun_ms = self.begun_ms or now - self._admission.arrived_ms
+        self.first_byte_ms = now - sent_ms
+        self.arrival_to_first_byte_ms = (
+            self.arrival_to_first_byte_ms or now - self._admission.arrived_ms
+        )
 
     def _record_gap(self) -> None:
         now = now_ms()
@@ -245,16 +249,16 @@
         """
         unsent = []
         for event in events:
-            ids_ahead = self._ids_ahead(event)
-            if ids_ahead > 1:
+            id_difference = self._id_difference(event)
+            if id_difference > 1:
                 return None
-            if ids_ahead == 1:
+            if id_difference == 1:
                 unsent.append(event)
                 self.last_event_id = event.event_id or self.last_event_id
         return unsent
 
-    def _ids_ahead(self, event: Event) -> int:
-        """Return how far an event is ahead of the last; 1 means the next."""
+    def _id_difference(self, event: Event) -> int:
+        """Return an event's id less the last one sent; 1 for the next event."""
         if event.event_id.isdigit() and self.last_event_id.isdigit():
             return int(event.event_id) - int(self.last_event_id)
         return 1
@@ -277,6 +281,6 @@
         if not route.is_repeatable:
             return 0
         if route.is_stream:
-            waited_ms = MAX_SILENT_GAPS * route.gap_ms
-            return max(waited_ms, MAX_SILENT_OBJECTIVES * route.objective_ms)
+            gap_limit_ms = MAX_SILENT_GAPS * route.gap_ms
+            return max(gap_limit_ms, MAX_SILENT_OBJECTIVES * route.objective_ms)
         return MAX_SILENT_OBJECTIVES * route.objective_ms
--- a/hornbeamdeck/request/engine_connection.py
+++ b/hornbeamdeck/request/engine_connection.py
@@ -23,7 +23,7 @@
 # machine that lost power shows no other sign of the failure. One lost packet is
 # resent within 200 ms, and a second time after 400 ms more.
 ACK_TIMEOUT_MS: Final = 600
-# After these a complete response has been read.
+# Ends of a run whose response has been read completely.
 _COMPLETE: Final = frozenset((RunEnd.ANSWERED, RunEnd.ERRORED))
 
 
@@ -43,7 +43,7 @@
         self._is_repeatable = is_repeatable
         self._engine = ''
         self._was_pooled = False
-        self._idle_ms = 0.0
+        self._max_idle_ms = 0.0
 
     async def async_open(
         self,
@@ -72,7 +72,7 @@
 
     def record_keep_alive(self, head: HttpResponse) -> None:
         """Record how long the engine will keep the connection open."""
-        self._idle_ms = keep_alive_ms(head.headers)
+        self._max_idle_ms = keep_alive_ms(head.headers)
 
     async def async_close(self, end: RunEnd) -> None:
         """Return the connection to the pool, or close it.
@@ -88,7 +88,7 @@
             return
         if end in _COMPLETE:
             await self._pool.async_release(
-                self._engine, connection, self._idle_ms
+                self._engine, connection, self._max_idle_ms
             )
             return
         await connection.async_close()
--- a/hornbeamdeck/request/gateway_handler.py
+++ b/hornbeamdeck/request/gateway_handler.py
@@ -30,7 +30,7 @@
 
 _LOGGER = structlog.get_logger(prefix='edge')
 
-# Parts of a graceful shutdown after which no stream, or no other request, is
+# Shares of a graceful shutdown after which no stream, or no other request, is
 # started. Streams run for seconds; one that begins in the last two thirds of a
 # shutdown may still run at its end. Other responses take a fraction of that.
 MAX_SHUTDOWN_SHARE_STREAM: Final = 0.35
@@ -63,8 +63,8 @@
         granted to it.
     :param zone: this instance's availability zone.
     :param is_draining: whether a graceful shutdown has begun.
-    :param shutdown_progress: elapsed part of a graceful shutdown; 0 if none has
-        begun.
+    :param shutdown_progress: elapsed share of a graceful shutdown; 0 if none
+        has begun.
     :param track_in_flight: counts a request while it is being answered.
     """
 
--- a/hornbeamdeck/request/gateway_request.py
+++ b/hornbeamdeck/request/gateway_request.py
@@ -17,10 +17,11 @@
 
     :param host: without port, in lower case.
     :param bearer_key: the bearer key; empty if there is none.
-    :param client_timeout_ms: the client timeout, counted from now.
+    :param client_timeout_ms: the client timeout, counted from its arrival.
     :param prompt_tokens: tokens of the prompt; 0: no model request.
     :param output_tokens: maximum number of tokens to generate.
-    :param expected_tokens: the caller's estimate of those; 0: none.
+    :param expected_tokens: number of tokens that the caller expects to be
+        generated; 0: not stated.
     :param prompt_part_ids: ids of the prompt's parts, in order.
     :param last_event_id: id of the last event that the caller received; empty:
         none.
@@ -86,7 +87,7 @@
     :param engine_headers: makes the headers of a request for an engine.
     :param classify_response: classifies an engine's response by its head.
     :param caller_response: converts an engine's response for the caller.
-    :param failure_response: makes the response to a failed request from its id.
+    :param failure_response: makes the response for a failure and a request id.
     """
 
     read_request: ReadRequest
--- a/hornbeamdeck/request/gateway_run.py
+++ b/hornbeamdeck/request/gateway_run.py
@@ -24,12 +24,12 @@
 
 _LOGGER = structlog.get_logger(prefix='request')
 
-# After these the request has certainly not run, so it may be sent to another
-# engine.
+# Ends after which the request has certainly not run, so it may be sent to
+# another engine.
 _NOT_RUN: Final = frozenset(
     (RunEnd.NOT_DISPATCHED, RunEnd.REJECTED, RunEnd.MISDIRECTED),
 )
-# After these a request that may run twice is sent to another engine.
+# Ends after which a request that may run twice is sent to another engine.
 _RETRYABLE: Final = frozenset((RunEnd.FAILED, RunEnd.ERRORED))
 FINGERPRINT_CHARS: Final = 16
 # Logged as the age of a freshness confirmation that was never received.
@@ -136,7 +136,7 @@
         await self._caller.async_respond(response)
 
     def log(self, event: str, *, code: str = 'answered') -> None:
-        """Log one line on how a request ended and on which data."""
+        """Count a request and log how it ended, with what it was based on."""
         admission = self._admission
         context = self._context
         total_ms = now_ms() - admission.arrived_ms
@@ -158,8 +158,8 @@
             output_tokens=admission.request.output_tokens,
             expected_tokens=admission.request.expected_tokens,
             waited_ms=int(self._waited_ms),
-            first_ms=int(self._engine_attempts.first_ms),
-            begun_ms=int(self._engine_attempts.begun_ms),
+            first_ms=int(self._engine_attempts.first_byte_ms),
+            begun_ms=int(self._engine_attempts.arrival_to_first_byte_ms),
             longest_gap_ms=int(self._engine_attempts.longest_gap_ms),
             objective_ms=admission.route.objective_ms,
             gap_ms=admission.route.gap_ms,
@@ -249,7 +249,7 @@
         return end
 
     def _single_engine_gap_ms(self) -> float:
-        """Return the longest gap in the stream; 0 if two engines made it.
+        """Return the longest gap in the stream; 0 if two engines sent it.
 
         The gap in which the second engine took over describes neither engine.
         """
--- a/hornbeamdeck/request/issued_key.py
+++ b/hornbeamdeck/request/issued_key.py
@@ -1,7 +1,7 @@
 """Idempotency keys that the system issues, each bound to one process.
 
 A key chosen by a caller needs a claim in the store. An issued key needs none:
-it names the only incarnation of an instance that may ever dispatch its call,
+it names the only incarnation of an instance that may ever run its call,
 so a record in that incarnation's memory is sufficient and bookings continue
 while the store is down. Once that incarnation has ended, no instance runs the
 call.
--- a/hornbeamdeck/request/outcome.py
+++ b/hornbeamdeck/request/outcome.py
@@ -1,7 +1,7 @@
 """Outcomes reported to callers: whether a request ran.
 
 A refusal before the first byte reached an upstream has a different type than a
-failure after it, so that code after the dispatch can't report "not run".
+failure after it, so that code after that byte can't report "not run".
 """
 
 import enum
--- a/hornbeamdeck/request/relay.py
+++ b/hornbeamdeck/request/relay.py
@@ -1,7 +1,7 @@
 """Sends a placed request to its upstream and the response to the caller.
 
 From the first byte written here every failure is `Unknown`. That type can't
-express "not run", and the request is not dispatched a second time.
+express "not run", and the request is not sent a second time.
 """
 
 from http import HTTPStatus
@@ -91,7 +91,7 @@
         )
         if caller is not None and _is_stream(response):
             return await self._async_relay_stream(response, caller, policy)
-        return await self._async_read_whole(response)
+        return await self._async_read_complete(response)
 
     async def async_close(self) -> None:
         """Close the upstream connection and cancel an unfinished run."""
@@ -102,7 +102,7 @@
         if self.end == RunEnd.CANCELLED:
             await self._stream.async_cancel()
 
-    async def _async_read_whole(
+    async def _async_read_complete(
         self,
         response: HttpResponse,
     ) -> Result[HttpResponse, Unknown]:
--- a/hornbeamdeck/scheduling/admission_control.py
+++ b/hornbeamdeck/scheduling/admission_control.py
@@ -146,7 +146,7 @@
             return self._shared.quotas.retry_after_ms(team, need)
         return self._retry_schedule.assign(
             request.fingerprint,
-            self._wait_queue.drain_ms(),
+            self._wait_queue.time_to_empty_ms(),
             self._wait_queue.interval_ms,
             now,
         )
--- a/hornbeamdeck/scheduling/cell.py
+++ b/hornbeamdeck/scheduling/cell.py
@@ -79,8 +79,8 @@
         self._weights = weights
         self._top_rank = top_rank
         names = {each.name for each in upstreams}
-        for dropped in self.loads.keys() - names:
-            self.loads.pop(dropped)
+        for removed in self.loads.keys() - names:
+            self.loads.pop(removed)
         for upstream in upstreams:
             load = self.loads.setdefault(
                 upstream.name,
@@ -205,8 +205,8 @@
     def remove_sender(self, sender: str) -> None:
         """Remove all requests and runs of a closed connection."""
         for queue in self._tiers.values():
-            dropped = [each for each in queue if each.sender == sender]
-            for queued in dropped:
+            removed = [each for each in queue if each.sender == sender]
+            for queued in removed:
                 queue.remove(queued.request.request_id)
         for load in self.loads.values():
             load.remove_sender(sender)
@@ -226,7 +226,7 @@
         while queue and len(skipped) < MAX_SKIPPED:
             queued = queue.next_request()
             request = queued.request
-            load = self._place(queued, now)
+            load = self._choose_upstream(queued, now)
             if load is None:
                 return True
             if self._must_skip(queued, load, now):
@@ -256,7 +256,9 @@
         )
         return self.crash_tracker.must_wait(request.fingerprint, running, now)
 
-    def _place(self, queued: QueuedRequest, now: float) -> UpstreamLoad | None:
+    def _choose_upstream(
+        self, queued: QueuedRequest, now: float
+    ) -> UpstreamLoad | None:
         request = queued.request
         is_top_tier = request.tier_rank == self._top_rank
         excluded = request.excluded or ()
@@ -280,13 +282,13 @@
         )
 
     def _wait_ms(self, rank: int) -> float:
-        ahead_ms = sum(
+        work_ms = sum(
             queue.service_ms
             for other, queue in self._tiers.items()
             if other <= rank
         )
         slots = sum(load.upstream.max_running for load in self.loads.values())
-        return ahead_ms / max(slots, 1)
+        return work_ms / max(slots, 1)
 
     def _refuse(self, queued: QueuedRequest, reason: RefusalReason) -> Refused:
         wait_ms = self._wait_ms(queued.request.tier_rank)
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -88,10 +88,10 @@
             that are new here.
         """
         self._placements.request_full_scan()
-        named = {engine.name: engine for engine in engines}
-        for gone in self.loads.keys() - named.keys():
-            self.loads.pop(gone)
-        for name, engine in named.items():
+        engines_by_name = {engine.name: engine for engine in engines}
+        for removed in self.loads.keys() - engines_by_name.keys():
+            self.loads.pop(removed)
+        for name, engine in engines_by_name.items():
             load = self.loads.get(name)
             if load is None or load.engine.born_ms != engine.born_ms:
                 load = EngineLoad(engine, properties, self._estimates)
--- a/hornbeamdeck/scheduling/engine_crash_tracker.py
+++ b/hornbeamdeck/scheduling/engine_crash_tracker.py
@@ -2,9 +2,10 @@
 
 Load pattern: one request crashes each engine that starts it, and its caller
 retries it on any instance. A broken connection alone is no crash: links reset
-and responses get lost. An engine has crashed only if it can't be reached right
-after or if it restarts. Then every run that failed with it may be the cause. A
-request that is answered later did not cause the crash.
+and responses get lost. An engine counts as crashed only if the next connection
+to it fails within a short time, for example while it restarts. Then every run
+that failed with it may be the cause. A request that is answered later did not
+cause the crash.
 """
 
 from collections import deque
@@ -27,7 +28,7 @@
 
 class _CrashCount(NamedTuple):
     crashes: int
-    until_ms: float
+    expires_ms: float
 
 
 class EngineCrashTracker:
@@ -41,7 +42,7 @@
     def crash_count(self, fingerprint: str, now: float) -> int:
         """Return the number of crashes during which a request was running."""
         count = self._crash_counts.get(fingerprint)
-        if count is None or count.until_ms < now:
+        if count is None or count.expires_ms < now:
             return 0
         return count.crashes
 
@@ -74,7 +75,7 @@
             failed.popleft()
 
     def record_crash(self, engine: str, now: float) -> str:
-        """Record that an engine can't be reached or has restarted.
+        """Record that an engine can't be reached, so it may have crashed.
 
         :returns: the fingerprint of the suspect with the most crashes, if any.
         """
--- a/hornbeamdeck/scheduling/engine_load.py
+++ b/hornbeamdeck/scheduling/engine_load.py
@@ -146,7 +146,7 @@
         )
 
     def start(self, request_id: str, now: float) -> None:
-        """Estimate a run's first token and end, counted from its grant now."""
+        """Estimate the first token and the end of a run that is granted now."""
         run = self.runs[request_id]
         expected_ms = self.first_token_ms(
             base_first_token_ms(run.prompt_tokens), now
@@ -210,10 +210,10 @@
 
     def remove_sender(self, sender: str) -> None:
         """Remove the runs of a closed connection."""
-        dropped = [
+        removed = [
             key for key, run in self.runs.items() if run.sender == sender
         ]
-        for request_id in dropped:
+        for request_id in removed:
             run = self.runs.pop(request_id)
             if run.is_prefilling:
                 prefill_work_ms = prefill_ms(run.prompt_tokens) * self.slowness
--- a/hornbeamdeck/scheduling/engine_run.py
+++ b/hornbeamdeck/scheduling/engine_run.py
@@ -47,7 +47,7 @@
 def record_prefill_overlap(
     runs: dict[str, EngineRun], prefilled: EngineRun
 ) -> None:
-    """Record a completed prefill on the streams that ran all the while."""
+    """Record a completed prefill on the streams that ran during all of it."""
     prefill_work_ms = prefill_ms(prefilled.prompt_tokens)
     for request_id, run in runs.items():
         was_overlapping = (
--- a/hornbeamdeck/scheduling/forecast.py
+++ b/hornbeamdeck/scheduling/forecast.py
@@ -12,9 +12,9 @@
 __all__ = ('Forecast',)
 
 # A run past its expected end is expected to continue for about this share of
-# the time by which it is overdue, because output lengths that are often
-# estimated wrongly have long tails. Chosen, not measured. At 0 an overdue run's
-# slot would be promised to one request after another.
+# the time by which it is overdue. Output lengths are often estimated wrongly,
+# and their distribution has a long tail. At 0 an overdue run's slot would be
+# promised to one request after another.
 OVERDUE_SHARE: Final = 0.2
 
 
@@ -45,13 +45,13 @@
         )
         return cls((0.0,) * free_slots + tuple(remaining_ms), interval_ms)
 
-    def start_in_ms(self, ahead: int) -> float:
+    def start_in_ms(self, requests_ahead: int) -> float:
         """Estimate the time until a request starts.
 
-        :param ahead: number of requests that start before it.
+        :param requests_ahead: number of requests that start before it.
         """
-        known = len(self.free_ms)
-        if ahead < known:
-            return self.free_ms[ahead]
-        last_ms = self.free_ms[-1] if known else 0.0
-        return last_ms + (ahead - known + 1) * self.interval_ms
+        known_slots = len(self.free_ms)
+        if requests_ahead < known_slots:
+            return self.free_ms[requests_ahead]
+        last_ms = self.free_ms[-1] if known_slots else 0.0
+        return last_ms + (requests_ahead - known_slots + 1) * self.interval_ms
--- a/hornbeamdeck/scheduling/gap_estimate.py
+++ b/hornbeamdeck/scheduling/gap_estimate.py
@@ -24,10 +24,10 @@
 # Weight of one gap in the estimate: three long prompts that are prefilled next
 # to a stream move the estimate more than half of the way.
 LEARNING_RATE: Final = 0.3
-# A gap shows a whole chunk only if the prefill took this many times as long.
+# A gap shows a full chunk only if the prefill took this many times as long.
 # Otherwise the prompt may have ended within the chunk. The margin covers the
 # network time of the first token, which makes the prefill seem longer.
-WHOLE_CHUNK_RATIO: Final = 1.25
+FULL_CHUNK_RATIO: Final = 1.25
 # A gap that is too long to be explained by the prefill has another cause: a
 # lost packet or a machine that stalled.
 EXPLAINED_SHARE: Final = 0.8
@@ -68,9 +68,9 @@
             to it.
         """
         step_ms = max(gap_ms / max(tokens_per_event, 1), MIN_STEP_MS)
-        is_whole = prefill_work_ms >= gap_ms * WHOLE_CHUNK_RATIO
+        is_full_chunk = prefill_work_ms >= gap_ms * FULL_CHUNK_RATIO
         is_longer = step_ms > self.step_ms
-        if is_whole or (
+        if is_full_chunk or (
             is_longer and prefill_work_ms >= gap_ms * EXPLAINED_SHARE
         ):
             self.step_ms += LEARNING_RATE * (step_ms - self.step_ms)
--- a/hornbeamdeck/scheduling/placement_scan.py
+++ b/hornbeamdeck/scheduling/placement_scan.py
@@ -32,9 +32,10 @@
     ) -> None:
         """Set the engines to scan.
 
-        :param free: all engines with a free slot, for untried requests.
+        :param free: all engines with a free slot, for new requests.
         :param changed: those of them to try again for the other requests.
-        :param arrived: teams of the untried requests, by request id.
+        :param arrived: teams of the new requests, by request id. A request is
+            new if it has arrived since the last scan.
         """
         self.free = free
         self._changed = changed
@@ -50,11 +51,14 @@
     def incremental(
         cls,
         free: list[EngineLoad],
-        names: Collection[str],
+        changed_names: Collection[str],
         arrived: Mapping[str, str],
     ) -> Self:
-        """Scan what has changed since the last scan."""
-        changed = [load for load in free if load.engine.name in names]
+        """Scan what has changed since the last scan.
+
+        :param changed_names: names of the engines whose runs have changed.
+        """
+        changed = [load for load in free if load.engine.name in changed_names]
         if not changed and not arrived:
             return cls([], [], {})
         return cls(free, changed, arrived)
--- a/hornbeamdeck/scheduling/request_rank.py
+++ b/hornbeamdeck/scheduling/request_rank.py
@@ -22,13 +22,14 @@
 # Lower ranks start first; requests of equal rank start by urgency.
 Rank: TypeAlias = tuple[float, float]
 
-# Ranks of late requests, between those that can be on time. A late request of
-# the first priority is still worth more than a new one of the next. A late one
-# of the second is worth less than a new one of the third.
+# Ranks of late requests by priority, between the ranks of requests that can be
+# on time. A late request of the first priority is still worth more than a new
+# one of the second. A late one of the second is worth less than a new one of
+# the third.
 LATE_RANKS: Final = (0.5, 2.5, 3.5)
 # Value of a request relative to one of the next higher priority and the same
 # size. Priorities define only an order. With a quarter, four small responses of
-# a priority are not refused in favour of one of the next.
+# a priority are not refused in favour of one of the next higher priority.
 LOWER_RANK_VALUE_SHARE: Final = 0.25
 # Generating a token takes an engine step, prefilling one takes a tenth of that
 # or less. Callers value responses in about this ratio.
--- a/hornbeamdeck/scheduling/retry_schedule.py
+++ b/hornbeamdeck/scheduling/retry_schedule.py
@@ -39,20 +39,20 @@
     def assign(
         self,
         fingerprint: str,
-        drain_ms: float,
+        time_to_empty_ms: float,
         interval_ms: float,
         now: float,
     ) -> int:
         """Return the time after which a caller is to retry, in milliseconds.
 
         :param fingerprint: identifies its request when it returns.
-        :param drain_ms: time until all waiting requests have started.
+        :param time_to_empty_ms: time until all waiting requests have started.
         :param interval_ms: time between the starts of two requests.
         """
         self._refused[fingerprint] = now
         if len(self._refused) > MAX_TRACKED_REQUESTS:
             self._refused.popitem(last=False)
-        earliest_ms = now + max(drain_ms, MIN_RETRY_AFTER_MS)
+        earliest_ms = now + max(time_to_empty_ms, MIN_RETRY_AFTER_MS)
         self._next_ms = max(self._next_ms, earliest_ms)
         self._next_ms = min(self._next_ms, now + MAX_RETRY_AFTER_MS)
         retry_after_ms = self._next_ms - now
--- a/hornbeamdeck/scheduling/token_quota.py
+++ b/hornbeamdeck/scheduling/token_quota.py
@@ -34,7 +34,7 @@
 MIN_RETRY_MS: Final = 100
 # A request that needs at most this share of the tokens that others wait for may
 # overtake them: a booking counts a few hundred tokens, a long prompt thousands,
-# and one delays the other by milliseconds. Chosen between these, not measured.
+# and one delays the other by milliseconds.
 SMALL_REQUEST_SHARE: Final = 0.1
 
 
@@ -122,7 +122,7 @@
         """
         if not team.rate_per_s:
             return True
-        bucket = self._filled(team, now)
+        bucket = self._refilled_bucket(team, now)
         tokens = min(need.tokens, self._capacity(team))
         tokens_ahead = self._tokens_ahead(team, need.rank)
         if (
@@ -131,7 +131,7 @@
         ):
             return True
         missing = tokens + tokens_ahead - bucket.level
-        return missing <= need.max_wait_ms * self._per_ms(team)
+        return missing <= need.max_wait_ms * self._refill_per_ms(team)
 
     def add_waiting(self, team: str, need: TokenNeed) -> None:
         """Count a request among those that wait for a team's tokens."""
@@ -152,7 +152,7 @@
         # The need is capped, since a request larger than the bucket's capacity
         # would never start, even with a full bucket.
         needed = min(tokens, self._capacity(team))
-        return self._filled(team, now).level >= needed
+        return self._refilled_bucket(team, now).level >= needed
 
     def spend(self, team: GatewayTeam, tokens: int, now: float) -> bool:
         """Charge tokens to a team's limit if it has them."""
@@ -174,7 +174,7 @@
             return MIN_RETRY_MS
         missing = min(need.tokens, self._capacity(team)) - bucket.level
         missing += self._tokens_ahead(team, need.rank)
-        return max(int(missing / self._per_ms(team)) + 1, MIN_RETRY_MS)
+        return max(int(missing / self._refill_per_ms(team)) + 1, MIN_RETRY_MS)
 
     def describe(self, team: str) -> str:
         """Return the state of a team's bucket, for the log."""
@@ -183,12 +183,12 @@
             return 'no limit in use'
         return f'{int(bucket.level)} tokens left, share {self._share():.2f}'
 
-    def _filled(self, team: GatewayTeam, now: float) -> _Bucket:
+    def _refilled_bucket(self, team: GatewayTeam, now: float) -> _Bucket:
         bucket = self._buckets.get(team.name)
         if bucket is None:
-            bucket = _Bucket(self._first_level(team), now)
+            bucket = _Bucket(self._initial_level(team), now)
             self._buckets[team.name] = bucket
-        bucket.fill(self._per_ms(team), self._capacity(team), now)
+        bucket.fill(self._refill_per_ms(team), self._capacity(team), now)
         return bucket
 
     def _tokens_ahead(self, team: GatewayTeam, rank: int) -> int:
@@ -206,12 +206,12 @@
     def _capacity(self, team: GatewayTeam) -> float:
         return (team.burst + self._slack() * BURST_SHARE) * self._share()
 
-    def _per_ms(self, team: GatewayTeam) -> float:
-        spread = self._slack() * (1 - BURST_SHARE) / self._rules.window_ms
-        per_ms = team.rate_per_s / MILLIS_PER_SECOND + spread
+    def _refill_per_ms(self, team: GatewayTeam) -> float:
+        slack_per_ms = self._slack() * (1 - BURST_SHARE) / self._rules.window_ms
+        per_ms = team.rate_per_s / MILLIS_PER_SECOND + slack_per_ms
         return per_ms * self._share()
 
-    def _first_level(self, team: GatewayTeam) -> float:
+    def _initial_level(self, team: GatewayTeam) -> float:
         # After a restart of the whole fleet, the tokens spent right before it
         # are unknown. An empty bucket gives each team its rate, which hardly
         # affects teams below their limit. A full one could exceed the limit.
@@ -220,6 +220,6 @@
             return capacity
         if not self._view.covers_window():
             return 0.0
-        refill = self._per_ms(team) * self._rules.window_ms
+        refill = self._refill_per_ms(team) * self._rules.window_ms
         remaining = capacity + refill - self._view.spent(team.name)
         return min(capacity, remaining)
--- a/hornbeamdeck/scheduling/upstream_crash_tracker.py
+++ b/hornbeamdeck/scheduling/upstream_crash_tracker.py
@@ -33,7 +33,7 @@
 
 class _Suspicion(NamedTuple):
     crashes: int
-    until_ms: float
+    expires_ms: float
 
 
 class UpstreamCrashTracker:
@@ -49,7 +49,7 @@
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is None:
             return 0
-        if suspicion.until_ms < now:
+        if suspicion.expires_ms < now:
             self._suspicions.pop(fingerprint)
             return 0
         return suspicion.crashes
--- a/hornbeamdeck/scheduling/upstream_load.py
+++ b/hornbeamdeck/scheduling/upstream_load.py
@@ -17,7 +17,12 @@
 
 
 class Run(NamedTuple):
-    """A run as the owner accounts for it."""
+    """A run as the owner accounts for it.
+
+    :param queued_tokens: prompt tokens to prefill before its first token, its
+        own included.
+    :param first_token_ms: time to its first token; 0: not yet reported.
+    """
 
     sender: str
     fingerprint: str
@@ -139,10 +144,10 @@
             return run
         self._backoff_ms = 0
         self._last_sample_ms = now
-        before_ms = run.first_token_ms
-        if not before_ms:
-            before_ms = self.speed.first_token_ms(run.queued_tokens)
-        self.speed.learn_output(total_ms - before_ms, run.output_tokens)
+        until_output_ms = run.first_token_ms
+        if not until_output_ms:
+            until_output_ms = self.speed.first_token_ms(run.queued_tokens)
+        self.speed.learn_output(total_ms - until_output_ms, run.output_tokens)
         return run
 
     def start_backoff(self, now: float) -> None:
--- a/hornbeamdeck/scheduling/wait_queue.py
+++ b/hornbeamdeck/scheduling/wait_queue.py
@@ -27,14 +27,17 @@
 INITIAL_INTERVAL_MS: Final = 15.0
 # A longer time between two grants means that no request was waiting.
 MAX_INTERVAL_MS: Final = 300.0
-# Share of its objective that a request may be expected to wait, by priority.
+# Share of its slack (its objective less the shortest time to its first token)
+# that a request may be expected to wait, by priority.
 # The remainder allows for errors of the estimate.
 MAX_WAIT_SHARES: Final = (0.6, 0.4, 0.35)
-# How long a request may wait once it can't meet its objective, by priority.
-# Then it is refused, which leaves the caller time for its own alternatives.
+# How long a request may wait past its objective, by priority, and how long one
+# that is late at its arrival may be expected to wait. Then it is refused, which
+# leaves the caller time for its own alternatives.
 MAX_LATE_WAITS_MS: Final = (1500.0, 500.0, 300.0)
-# One of this many grants goes to the request with the earliest start time,
-# whatever its priority, so that a flood of urgent requests starves no one.
+# One of this many grants goes to the request that must start first to meet its
+# objective, whatever its priority, so that a flood of urgent requests starves
+# no one.
 FAIR_TURN_GRANTS: Final = 6
 
 
@@ -162,7 +165,7 @@
             change_ms = (elapsed_ms - self.interval_ms) / GRANTS_AVERAGED
             self.interval_ms += change_ms
 
-    def drain_ms(self) -> float:
+    def time_to_empty_ms(self) -> float:
         """Estimate the time until all waiting requests have started."""
         return len(self._entries) * self.interval_ms
 
@@ -178,10 +181,10 @@
         rank = rank_of(request, is_late=start_ms < now)
         own_key = (rank, start_ms)
         max_wait_ms = self.max_wait_ms(request, fastest_ms)
-        ahead = sum(
+        requests_ahead = sum(
             entry.order(now) <= own_key for entry in self._entries.values()
         )
-        return forecast.start_in_ms(ahead) <= max_wait_ms
+        return forecast.start_in_ms(requests_ahead) <= max_wait_ms
 
     def max_wait_ms(self, request: Enqueue, fastest_ms: float) -> float:
         """Return the longest expected wait at which a request is admitted."""
@@ -203,15 +206,18 @@
         refusal leaves the caller more time to come back, and the requests
         behind move up.
         """
-        ahead = 0
+        requests_ahead = 0
         forecast_expired = []
         for entry in self._ordered(now):
             if entry.queued.deadline_ms < now or entry.queued.request.excluded:
                 continue
-            if now + forecast.start_in_ms(ahead) > entry.queued.deadline_ms:
+            if (
+                now + forecast.start_in_ms(requests_ahead)
+                > entry.queued.deadline_ms
+            ):
                 forecast_expired.append(entry)
             else:
-                ahead += 1
+                requests_ahead += 1
         return forecast_expired
 
     def _remove_all(self, requests: list[QueuedRequest]) -> list[QueuedRequest]:
--- a/tests/request/test_bad_input.py
+++ b/tests/request/test_bad_input.py
@@ -89,7 +89,7 @@
         'idempotency_key_needed',
     ),
     (
-        'booking in disguise',
+        'obfuscated booking path',
         _post(b'{}')._replace(path='/services/counter/x/..//%62ookings'),
         400,
         'idempotency_key_needed',
@@ -119,12 +119,12 @@
     async with sock:
         await sock.sendall(sent)
         await sock.shutdown(socket.SHUT_WR)
-        return b''.join([piece async for piece in _pieces(sock)])
+        return b''.join([chunk async for chunk in _received_chunks(sock)])
 
 
-async def _pieces(sock: socket.socket):  # type: ignore[no-untyped-def]
-    while piece := await sock.recv(65536):
-        yield piece
+async def _received_chunks(sock: socket.socket):  # type: ignore[no-untyped-def]
+    while chunk := await sock.recv(65536):
+        yield chunk
 
 
 @on_fleet(ONE)
--- a/tests/request/test_claim.py
+++ b/tests/request/test_claim.py
@@ -40,7 +40,7 @@
         super().__init__()
         self.platform = FakePlatform()
         self.runs = 0
-        self.held: list[Once] = []
+        self.rights_held: list[Once] = []
         self.ran: list[Once] = []
         self.not_run_responses = 0
         self.replayed_responses = 0
@@ -69,30 +69,30 @@
             return
         match claimed.unwrap():
             case Once() as once:
-                self.held.append(once)
+                self.rights_held.append(once)
             case Recorded(response):
                 assert response.body == BOOKING_BODY
                 assert self.runs == 1
                 self.replayed_responses += 1
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.rights_held)
     @rule()
-    def dispatch(self) -> None:
+    def run_booking(self) -> None:
         """Run the booking under a right that was granted."""
         self.runs += 1
-        self.ran.append(self.held.pop())
+        self.ran.append(self.rights_held.pop())
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.rights_held)
     @rule()
     def release(self) -> None:
         """Release a right, as after a call that no upstream accepted."""
-        self._run(self.held.pop().release())
+        self._run(self.rights_held.pop().release())
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.rights_held)
     @rule()
     def crash_before_the_run(self) -> None:
         """Crash an instance that holds a right."""
-        self.held.pop()
+        self.rights_held.pop()
 
     @precondition(lambda self: self.ran)
     @rule()
@@ -110,7 +110,7 @@
     @invariant()
     def runs_at_most_once(self) -> None:
         """Check that at most one run has happened or is still permitted."""
-        assert self.runs + len(self.held) <= 1
+        assert self.runs + len(self.rights_held) <= 1
 
     async def _async_send(self, fingerprint: str) -> Any:
         deadline_reads = iter(range(MAX_DEADLINE_READS))
--- a/tests/request/test_event_parser.py
+++ b/tests/request/test_event_parser.py
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_any_split_into_pieces_yields_the_same_events(
+def test_any_split_into_chunks_yields_the_same_events(
     splits: list[int],
 ) -> None:
     parser = EventParser()
@@ -42,5 +42,5 @@
         assert len(events) == 1
 
 
-def test_events_without_an_id_have_an_empty_name() -> None:
+def test_events_without_an_id_have_an_empty_id() -> None:
     assert EventParser().add_chunk(b'data: id: 3\n\n')[0].event_id == ''
--- a/tests/request/test_openai_client.py
+++ b/tests/request/test_openai_client.py
@@ -37,7 +37,7 @@
         max_tokens=TOKENS,
         stream=True,
     )
-    return ''.join(piece.choices[0].delta.content or '' for piece in stream)
+    return ''.join(chunk.choices[0].delta.content or '' for chunk in stream)
 
 
 def _complete(client: openai.OpenAI) -> str:
--- a/tests/scheduling/test_cell.py
+++ b/tests/scheduling/test_cell.py
@@ -69,11 +69,11 @@
     return [each.queued.request.request_id for each in cell.place_waiting(now)]
 
 
-def end_run(cell: Cell, name: str, how: RunEnd = RunEnd.ANSWERED) -> None:
+def end_run(cell: Cell, name: str, end: RunEnd = RunEnd.ANSWERED) -> None:
     """End a run after 100 ms."""
     progress = Progress(request_id=name, cell='desk', first_token_ms=20)
     cell.progress(progress, now=0)
-    release = Release(request_id=name, cell='desk', end=how, total_ms=100)
+    release = Release(request_id=name, cell='desk', end=end, total_ms=100)
     cell.release(release, now=0)
 
 
--- a/tests/scheduling/test_engine_cell.py
+++ b/tests/scheduling/test_engine_cell.py
@@ -575,8 +575,8 @@
     """
     desk = _limited_desk()
     teams = desk._admission._shared.teams
-    enqueue(desk, make_request('gone', quota_tokens=15_000))
+    enqueue(desk, make_request('withdrawn', quota_tokens=15_000))
     guides = teams.pop('guides')
-    desk.withdraw('gone')
+    desk.withdraw('withdrawn')
     teams['guides'] = guides
     assert enqueue(desk, make_request('next', quota_tokens=15_000)) is None
--- a/tests/scheduling/test_engine_cell_states.py
+++ b/tests/scheduling/test_engine_cell_states.py
@@ -99,10 +99,10 @@
     def lose_ingress(self, sender: str) -> None:
         """Close the connection of an ingress with all its requests."""
         self.cell.remove_sender(sender)
-        for held in (self.waiting, self.running):
-            gone = [key for key, owner in held.items() if owner == sender]
-            for request_id in gone:
-                held.pop(request_id)
+        for requests in (self.waiting, self.running):
+            removed = [key for key, by in requests.items() if by == sender]
+            for request_id in removed:
+                requests.pop(request_id)
 
     @rule(
         names=st.sets(st.sampled_from(NAMES)),
--- a/tests/scheduling/test_forecast.py
+++ b/tests/scheduling/test_forecast.py
@@ -10,7 +10,9 @@
 
 def test_free_slots_come_first_then_runs_by_their_end() -> None:
     forecast = Forecast.from_ends(2, [300, 120], 40, now=100)
-    starts = [forecast.start_in_ms(ahead) for ahead in range(6)]
+    starts = [
+        forecast.start_in_ms(requests_ahead) for requests_ahead in range(6)
+    ]
     assert starts == [0, 0, 20, 200, 240, 280]
 
 
@@ -29,6 +31,8 @@
     ends_ms: list[float],
 ) -> None:
     forecast = Forecast.from_ends(free_slots, ends_ms, 25, now=0)
-    starts = [forecast.start_in_ms(ahead) for ahead in range(20)]
+    starts = [
+        forecast.start_in_ms(requests_ahead) for requests_ahead in range(20)
+    ]
     assert starts == sorted(starts)
     assert starts[0] >= 0
--- a/tests/scheduling/test_load_replay.py
+++ b/tests/scheduling/test_load_replay.py
@@ -60,10 +60,10 @@
     """Requests that more urgent ones have overtaken in the same burst would be
     held until their deadline and then refused all the same.
     """
-    prompt = _replayed()
+    refused_early = _replayed()
     monkeypatch.setattr(WaitQueue, '_forecast_expired', lambda *_judged: [])
     held = _replayed()
-    assert prompt['cost'] < held['cost']
+    assert refused_early['cost'] < held['cost']
 
 
 # Share of a day's value that the users are promised on time.
--- a/tests/scheduling/test_token_quota.py
+++ b/tests/scheduling/test_token_quota.py
@@ -18,14 +18,14 @@
 ) -> None:
     limits = make_quotas()
     guides = make_team()
-    taken = []
+    charged = []
     now = 0
     for wait_ms, tokens in spendings:
         now += wait_ms
         if limits.spend(guides, tokens, now):
-            taken.append((now, tokens))
-    for start, _ in taken:
-        window = [each for at, each in taken if start <= at < start + 8000]
+            charged.append((now, tokens))
+    for start, _ in charged:
+        window = [each for at, each in charged if start <= at < start + 8000]
         # One request may overdraw a full bucket.
         largest = max(window, default=0)
         assert sum(window) <= 1000 * 8 + max(largest, 1000)
--- a/tests/scheduling/test_upstream_crash_tracker.py
+++ b/tests/scheduling/test_upstream_crash_tracker.py
@@ -85,13 +85,13 @@
     )
 
 
-def _poison(fleet: Fleet) -> None:
+def _crash_on_prompt(fleet: Fleet) -> None:
     # The prompt of call number 0 begins with these words.
     for engine in fleet.engines:
         engine.crash_mark = '0 guides'
 
 
-def _crashed(fleet: Fleet) -> int:
+def _crash_count(fleet: Fleet) -> int:
     return sum(engine.has_crashed for engine in fleet.engines)
 
 
@@ -103,9 +103,9 @@
     engines. It may cost two engines. Then it is refused, and the remaining
     engines serve everyone else.
     """
-    _poison(fleet)
+    _crash_on_prompt(fleet)
     records = [await _async_send(fleet, number) for number in range(20)]
-    assert _crashed(fleet) == 2
+    assert _crash_count(fleet) == 2
     assert {each.outcome for each in records[:2]} == {'unknown'}
     assert {each.outcome for each in records[2:]} == {'not_run'}
     assert {each.status for each in records[2:]} == {422}
@@ -120,7 +120,7 @@
     """A request crashes an engine, and then the owner that suspects the request
     dies. The next owner must not start counting from zero.
     """
-    _poison(fleet)
+    _crash_on_prompt(fleet)
     owner = fleet.owner_of('desk')
     others = [each for each in fleet.instances if each is not owner]
     await _async_send(
@@ -131,4 +131,4 @@
     remaining = fleet._replace(instances=others)
     for number in range(1, 10):
         await _async_send(remaining, number)
-    assert _crashed(fleet) == 2
+    assert _crash_count(fleet) == 2
