--- a/hornbeamdeck/platform/store.py
+++ b/hornbeamdeck/platform/store.py
@@ -46,10 +46,10 @@
 class _ObjectList(NamedTuple):
     """All objects of a kind, and the revision to watch from.
 
-    :param at: the store's revision when the first page was read.
+    :param revision: the store's revision when the first page was read.
     """
 
-    at: int
+    revision: int
     entries: list[Any]
 
 
@@ -110,7 +110,7 @@
         if isinstance(listed, Err):
             return listed
         changes = tuple(map(_to_change, listed.ok_value.entries))
-        return Ok(EnginesRead(listed.ok_value.at, changes))
+        return Ok(EnginesRead(listed.ok_value.revision, changes))
 
     async def async_watch_engines(
         self,
@@ -139,7 +139,7 @@
         statuses = map(_to_status, listed.ok_value.entries)
         return Ok(tuple(each for each in statuses if each is not None))
 
-    async def async_publish(
+    async def async_write_status(
         self,
         status: InstanceStatus,
     ) -> Result[None, StoreUnavailable]:
@@ -160,7 +160,7 @@
             return replaced
         return _check_written(replaced.ok_value)
 
-    async def async_withdraw(
+    async def async_delete_status(
         self,
         status: InstanceStatus,
     ) -> Result[None, StoreUnavailable]:
@@ -183,7 +183,7 @@
         """
         entries: list[Any] = []
         query: dict[str, str] = {}
-        at = 0
+        revision = 0
         for _ in range(MAX_PAGES):
             path = f'{PATH_OBJECTS}/{kind}'
             fetched = await self._async_get(path, query, role=kind)
@@ -193,11 +193,11 @@
             if isinstance(page, Err):
                 return page
             entries += page.ok_value['entries']
-            at = at or page.ok_value['at']
+            revision = revision or page.ok_value['at']
             if not page.ok_value['has_more'] or not page.ok_value['entries']:
                 break
             query = {'after': _object_name(entries[-1])}
-        return Ok(_ObjectList(at, entries))
+        return Ok(_ObjectList(revision, entries))
 
     async def _async_watch(
         self,
@@ -262,8 +262,8 @@
         list_engines=store.async_list_engines,
         watch_engines=store.async_watch_engines,
         list_instances=store.async_list_instances,
-        write_status=store.async_publish,
-        delete_status=store.async_withdraw,
+        write_status=store.async_write_status,
+        delete_status=store.async_delete_status,
     )
 
 
--- a/hornbeamdeck/process/baseline_policies.py
+++ b/hornbeamdeck/process/baseline_policies.py
@@ -1,6 +1,6 @@
 """Two simple placement policies that serve as baselines for grants.
 
-With both, each instance sends requests at once and without coordination.
+With both, each instance sends requests immediately and without coordination.
 Engines accept whatever they are sent, so requests queue there without regard
 to tiers.
 """
@@ -71,7 +71,9 @@
     """Ignore the time to first token."""
 
 
-async def _async_ignore_end(request_id: str, end: RunEnd, ms: float) -> None:
+async def _async_ignore_end(
+    request_id: str, end: RunEnd, total_ms: float
+) -> None:
     """Ignore the end of a run."""
 
 
--- a/hornbeamdeck/process/coalesced_read.py
+++ b/hornbeamdeck/process/coalesced_read.py
@@ -25,7 +25,7 @@
     def __init__(self, read: Callable[[], Awaitable[bool]]) -> None:
         """Create the shared read; nothing is read yet.
 
-        :param read: reads once and returns whether the store responded.
+        :param read: reads once and returns whether the read succeeded.
         """
         self._read = read
         self._done: Event | None = None
--- a/hornbeamdeck/process/engine_directory.py
+++ b/hornbeamdeck/process/engine_directory.py
@@ -9,11 +9,12 @@
 
 __all__ = ('Engine', 'EngineDirectory', 'engine_from_wire')
 
+# Slowness of an engine for which no value has been learned.
 UNIT_SLOWNESS: Final = 1.0
 # Number of versions available for lists read at one revision of the store.
 # Lists of one revision differ while engines are retained after an outage.
 VERSIONS_PER_REVISION: Final = 1024
-# Names of removed engines are kept because grants for them may still be in
+# Names of removed engines are stored because grants for them may still be in
 # transit.
 MAX_REMOVED_ENGINES: Final = 1024
 
--- a/hornbeamdeck/process/follower.py
+++ b/hornbeamdeck/process/follower.py
@@ -1,4 +1,4 @@
-"""Follows objects in the store and adopts new configurations."""
+"""Follows objects in the store and applies new configurations."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, Generic, NamedTuple, Protocol, TypeAlias, TypeVar
@@ -115,13 +115,13 @@
     :param empty: the configuration used before the first document is read.
     :param parse: takes a document's text and its version.
     :param fetch: reads the document from the store.
-    :param on_adopted: called with each configuration that comes into force.
+    :param on_applied: called with each configuration that comes into force.
     """
 
     empty: _Configuration
     parse: Callable[[str, int], _Parsed[_Configuration]]
     fetch: Callable[[], Awaitable[_Fetched]]
-    on_adopted: Callable[[_Configuration], Awaitable[None]]
+    on_applied: Callable[[_Configuration], Awaitable[None]]
 
 
 class ConfigurationFollower(Generic[_Configuration]):
@@ -136,7 +136,7 @@
         self._hinted = Event()
 
     async def async_note(self, change: StoredObject) -> None:
-        """Adopt a document if it is newer and valid."""
+        """Apply a document if it is newer and valid."""
         if change.key != KEY_CONFIGURATION or change.body is None:
             return
         if change.version <= self.configuration.version:
@@ -151,8 +151,8 @@
             )
             return
         self.configuration = parsed.ok_value
-        _LOGGER.info('configuration adopted', version=change.version)
-        await self._kind.on_adopted(parsed.ok_value)
+        _LOGGER.info('configuration applied', version=change.version)
+        await self._kind.on_applied(parsed.ok_value)
 
     async def async_hint(self, peer_id: str, version: int) -> None:
         """Record that a peer has a version, to fetch it if it is newer."""
@@ -166,9 +166,9 @@
 
         A watch may hang on a dead connection until its timeout, and the store
         may be down. This process would then stay on an old version although
-        its peers received the change. The peer that reported the version is
-        requested first: if every instance read from the store, each change
-        would cause one store call per instance.
+        its peers received the change. The document is first requested from
+        the peer that reported the version: if every instance read from the
+        store, each change would cause one store call per instance.
 
         :param take_from_peer: requests the document from a peer.
         """
@@ -190,7 +190,7 @@
 
 def make_configuration_follower(
     platform: PlatformClient,
-    on_adopted: Callable[[Configuration], Awaitable[None]],
+    on_applied: Callable[[Configuration], Awaitable[None]],
 ) -> ConfigurationFollower[Configuration]:
     """Create the follower of the product's own configuration document."""
 
@@ -205,10 +205,10 @@
             KEY_CONFIGURATION, role=CONFIGURATION_ROLE
         )
 
-    kind = DocumentSource(
+    source = DocumentSource(
         empty=Configuration.empty(),
         parse=_parse,
         fetch=_async_fetch,
-        on_adopted=on_adopted,
+        on_applied=on_applied,
     )
-    return ConfigurationFollower(kind)
+    return ConfigurationFollower(source)
--- a/hornbeamdeck/process/freshness.py
+++ b/hornbeamdeck/process/freshness.py
@@ -1,10 +1,10 @@
-"""Confirms that what a process holds is still what the store holds.
+"""Records when a process's copy of stored data was last known to be current.
 
 A revoked key must stop working on every instance within a bound, including an
 instance that is cut off and receives no updates. A confirmation therefore
 counts from the moment at which the request to the store was sent, on a clock
-that runs through suspension, and a keyed request is served only while the
-confirmation is young enough.
+that also runs while the machine is suspended, and a request with a key is
+served only while the confirmation is young enough.
 """
 
 import math
@@ -12,8 +12,8 @@
 
 __all__ = ('Freshness',)
 
-# New versions may appear faster than a process adopts them, so confirmations
-# are kept for several versions.
+# New versions may appear faster than a process applies them, so confirmations
+# are stored for several versions.
 MAX_CONFIRMED_VERSIONS: Final = 16
 
 
--- a/hornbeamdeck/process/freshness_guard.py
+++ b/hornbeamdeck/process/freshness_guard.py
@@ -1,9 +1,9 @@
 """Checks how current this process's view of the store is, and refreshes it.
 
-Heartbeats keep the view current while the owner and the peers are responsive.
+Heartbeats keep the view current while the owner and the peers respond in time.
 A process that lags, or whose owner lags, must not use its view for longer than
 a change may take to be in force. If the view is too old, a request triggers a
-new read of what it depends on and waits for it.
+new read of the data that it depends on and waits for it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,8 +19,8 @@
 
 # A confirmation of the configuration expires this long before the bound on
 # revoked keys. The margin covers a second in which watches may report nothing
-# while their history is dropped, and the time that a request takes to reach its
-# engine.
+# because the store drops its history of changes, and the time that a request
+# takes to reach its engine.
 REVOCATION_MARGIN_MS: Final = 1200
 # Time from the last check of the list of engines until a request reaches its
 # engine: the longest wait for a connection plus one retransmitted packet.
@@ -30,17 +30,17 @@
 class FreshnessDependencies(NamedTuple):
     """Records of confirmations and the reads that renew them.
 
-    :param version: returns the configuration version held here.
+    :param configuration_version: returns the configuration version held here.
     :param bounds: returns the bounds in force.
     :param read_configuration: reads the configuration and returns whether the
-        store answered.
+        store returned one.
     :param read_engines: reads the list of engines and returns whether the
-        store answered.
+        store returned one.
     """
 
     freshness: Freshness
     directory: EngineDirectory
-    version: Callable[[], int]
+    configuration_version: Callable[[], int]
     bounds: Callable[[], Bounds]
     read_configuration: Callable[[], Awaitable[bool]]
     read_engines: Callable[[], Awaitable[bool]]
@@ -65,7 +65,9 @@
     def configuration_age_ms(self) -> float:
         """Return the age of the configuration's confirmation."""
         dependencies = self._dependencies
-        return dependencies.freshness.age_ms(dependencies.version(), now_ms())
+        return dependencies.freshness.age_ms(
+            dependencies.configuration_version(), now_ms()
+        )
 
     def engines_age_ms(self) -> float:
         """Return the age of the confirmation of the list of engines."""
--- a/hornbeamdeck/process/gateway.py
+++ b/hornbeamdeck/process/gateway.py
@@ -75,7 +75,7 @@
             FreshnessDependencies(
                 freshness=self.components.freshness,
                 directory=self.components.directory,
-                version=self.components.identity.configuration_version,
+                configuration_version=self.components.identity.configuration_version,
                 bounds=lambda: self.settings.bounds,
                 read_configuration=self.components.reader.async_read_configuration,
                 read_engines=self.components.reader.async_read_engines,
--- a/hornbeamdeck/process/gateway_components.py
+++ b/hornbeamdeck/process/gateway_components.py
@@ -50,9 +50,9 @@
 
 __all__ = ('GatewayComponents', 'PlatformAdapter')
 
-# A lost instance gets a heartbeat every second and is used again when it
-# responds. Until then, no request is sent to it.
-SUSPECT_MS: Final = 30_000
+# A suspected instance is probed with a heartbeat every second and is used again
+# when it responds. Until then, no request may be sent to it.
+SUSPICION_MS: Final = 30_000
 
 Follower: TypeAlias = ConfigurationFollower[GatewayConfiguration]
 Parse: TypeAlias = Callable[
@@ -114,13 +114,15 @@
         )
         membership = Membership(
             _own_status(settings),
-            suspect_ms=SUSPECT_MS,
+            suspect_ms=SUSPICION_MS,
             common_cell=FLEET_CELL,
         )
         membership.mark_published()
         directory = EngineDirectory()
         reports = SpendingReports(settings.bounds.quota_window_ms)
         scheduler = Scheduler()
+        # These lists are filled below: the components that are created first
+        # call components that depend on them.
         fleet_share: list[Callable[[], float]] = []
         readers: list[StoreReader] = []
         cells = EngineCells(
@@ -164,7 +166,7 @@
                 spending_reports=reports,
                 configuration_version=identity.configuration_version,
                 engine_slowness=cells.slowness,
-                apply_slowness=cells.record_slowness,
+                record_slowness=cells.record_slowness,
                 on_engines_changed=cells.apply_engines,
                 is_store_reached=lambda: readers[0].is_store_reached,
                 is_first_start=settings.is_first_start,
@@ -176,7 +178,7 @@
         readers.append(
             StoreReader(
                 StoreReaderDependencies(
-                    access=store,
+                    store=store,
                     freshness=freshness,
                     directory=directory,
                     rank=heartbeats.liveness.rank,
@@ -184,7 +186,7 @@
                     has_owner_lost_store=lambda: (
                         heartbeats.has_owner_lost_store
                     ),
-                    version=identity.configuration_version,
+                    configuration_version=identity.configuration_version,
                     on_document=follower.async_note,
                     on_engines_changed=cells.apply_engines,
                 ),
@@ -269,7 +271,7 @@
             ),
         )
 
-    async def _async_adopted(configuration: GatewayConfiguration) -> None:
+    async def _async_applied(configuration: GatewayConfiguration) -> None:
         metrics.configuration_version = configuration.version
         cells.apply_configuration(configuration)
 
@@ -278,7 +280,7 @@
             empty=GatewayConfiguration.empty(),
             parse=parse,
             fetch=_async_fetch,
-            on_adopted=_async_adopted,
+            on_applied=_async_applied,
         ),
     )
 
--- a/hornbeamdeck/process/gateway_metrics_export.py
+++ b/hornbeamdeck/process/gateway_metrics_export.py
@@ -115,8 +115,8 @@
         'Age of the last proof that what is held is what the store holds.',
         labels=('held',),
     )
-    for held, age_ms in metrics.confirmation_ages_ms.items():
-        ages.add_metric((held,), age_ms / MILLIS_PER_SECOND)
+    for resource, age_ms in metrics.confirmation_ages_ms.items():
+        ages.add_metric((resource,), age_ms / MILLIS_PER_SECOND)
     yield ages
 
 
--- a/hornbeamdeck/process/gateway_settings.py
+++ b/hornbeamdeck/process/gateway_settings.py
@@ -118,7 +118,7 @@
     :param ready_address: where the platform checks whether it is ready.
     :param entries_address: where callers request the addresses to use.
     :param peer_address: where other instances connect.
-    :param seed_peers: addresses of peers that are requested for a snapshot
+    :param seed_peers: addresses of peers from which a snapshot is requested
         while the store is down.
     :param is_first_start: whether the whole fleet starts for the first time.
     :param metrics_port: where metrics are served; 0 lets the system choose.
--- a/hornbeamdeck/process/grants.py
+++ b/hornbeamdeck/process/grants.py
@@ -1,8 +1,8 @@
 """The ingress side of the grant protocol.
 
-Every request of this process is kept here until its response is complete, as
-waiting for a grant or as running. When the owner of a request's cell is lost,
-a waiting request is enqueued with the next owner and a running one is
+Every request of this process is recorded here until its response is complete,
+as waiting for a grant or as running. When the owner of a request's cell is
+lost, a waiting request is enqueued with the next owner and a running one is
 registered there. The next owner thus rebuilds its view of the upstreams from
 the ingress instances alone.
 """
@@ -152,8 +152,8 @@
     async def async_owner_lost(self, owner: str) -> None:
         """Move the requests of a lost owner to the next one.
 
-        Each waiting request is still kept here and has not reached an upstream,
-        so enqueueing it again can't run it twice.
+        Each waiting request is still recorded here and has not reached an
+        upstream, so enqueueing it again can't run it twice.
         """
         self.owner_watch.record_message(owner)
         await self._async_move(owner)
@@ -200,9 +200,9 @@
     async def _async_granted(self, sender: str, grant: Grant) -> None:
         waiting = self._waiting.get(grant.request_id)
         if waiting is None or waiting.owner != sender:
-            # The caller has left, or the request has moved to another owner.
-            # The slot is returned, since this owner would otherwise count a
-            # run that never starts.
+            # The caller has disconnected, or the request has moved to another
+            # owner. The slot is returned, since this owner would otherwise
+            # count a run that never starts.
             await self._async_decline(sender, grant)
             return
         self._waiting.pop(grant.request_id)
--- a/hornbeamdeck/process/heartbeat_pace.py
+++ b/hornbeamdeck/process/heartbeat_pace.py
@@ -24,7 +24,7 @@
 SILENCE_TIMEOUT_HEARTBEATS: Final = 3.2
 # An instance counts as live for at least this long after its last heartbeat.
 MIN_LIVENESS_TIMEOUT_MS: Final = 1500
-# How often a silent instance that ranks before the owner is probed.
+# How often a suspected instance that ranks before the owner is probed.
 MIN_PROBE_INTERVAL_MS: Final = 1000
 PROBE_INTERVAL_PER_INSTANCE_MS: Final = 30
 # Connections that the whole fleet opens to one instance within a heartbeat
@@ -41,7 +41,7 @@
         :param fleet_size: returns the number of instances, including this one.
         """
         self._fleet_size = fleet_size
-        self._probed_ms = 0.0
+        self._last_probe_ms = 0.0
 
     @property
     def interval_ms(self) -> float:
@@ -69,15 +69,15 @@
         return random.random() * self._fleet_size() < CONNECTIONS_PER_HEARTBEAT
 
     def select_probe_targets(
-        self, lost_peers: list[str], now: float
+        self, suspected_ids: list[str], now: float
     ) -> list[str]:
-        """Select at random which lost peers to probe now."""
-        probe_ms = max(
+        """Select at random which suspected peers to probe now."""
+        interval_ms = max(
             MIN_PROBE_INTERVAL_MS,
             PROBE_INTERVAL_PER_INSTANCE_MS * self._fleet_size(),
         )
-        if not lost_peers or now - self._probed_ms <= probe_ms:
+        if not suspected_ids or now - self._last_probe_ms <= interval_ms:
             return []
-        self._probed_ms = now
+        self._last_probe_ms = now
         limit = max(CONNECTIONS_PER_HEARTBEAT // self._fleet_size(), 1)
-        return random.sample(lost_peers, min(limit, len(lost_peers)))
+        return random.sample(suspected_ids, min(limit, len(suspected_ids)))
--- a/hornbeamdeck/process/heartbeats.py
+++ b/hornbeamdeck/process/heartbeats.py
@@ -52,10 +52,10 @@
 
     :param configuration_version: returns the configuration version held here.
     :param engine_slowness: returns the learned slowness of each engine.
-    :param apply_slowness: applies the slowness of engines that a peer reports.
+    :param record_slowness: records the slowness of engines that a peer reports.
     :param on_engines_changed: called when the list of engines has changed.
     :param is_first_start: whether no process of the fleet ran before.
-    :param is_store_reached: whether the last call to the store was answered.
+    :param is_store_reached: whether the last call to the store succeeded.
     """
 
     membership: Membership
@@ -66,7 +66,7 @@
     spending_reports: SpendingReports
     configuration_version: Callable[[], int]
     engine_slowness: Callable[[], Mapping[str, float]]
-    apply_slowness: Callable[[Mapping[str, float]], None]
+    record_slowness: Callable[[Mapping[str, float]], None]
     on_engines_changed: Callable[[], None]
     is_store_reached: Callable[[], bool]
     is_first_start: bool
@@ -76,7 +76,7 @@
     """Sends heartbeats, responds to them and applies what they report."""
 
     def __init__(self, dependencies: HeartbeatDependencies) -> None:
-        """Start counting this process's age."""
+        """Start without heartbeats; this process's age counts from now."""
         self._dependencies = dependencies
         self.has_owner_lost_store = False
         self._pace = HeartbeatPace(
@@ -88,7 +88,7 @@
             self._pace,
         )
         self._clock = HeartbeatClock(self.liveness.started_ms)
-        self._unanswered_ms: dict[str, float] = {}
+        self._unanswered_since_ms: dict[str, float] = {}
         self._sent_updates = SentUpdates(
             dependencies.membership, self.liveness.live_ids
         )
@@ -111,8 +111,8 @@
             self._spending_record_ms(now),
         )
         targets = self._targets()
-        for former_target in self._unanswered_ms.keys() - set(targets):
-            self._unanswered_ms.pop(former_target)
+        for former_target in self._unanswered_since_ms.keys() - set(targets):
+            self._unanswered_since_ms.pop(former_target)
         for peer_id in targets:
             await self._async_send_heartbeat(peer_id)
 
@@ -148,7 +148,7 @@
             return
         if not isinstance(message, Beat):
             return
-        self._unanswered_ms.pop(peer_id, None)
+        self._unanswered_since_ms.pop(peer_id, None)
         self._apply_heartbeat(peer_id, message)
         if message.present is not None:
             self.liveness.record_reported_live(peer_id, message.present)
@@ -172,14 +172,14 @@
             each for each in ranked if each not in membership.suspected
         ]
         targets = unsuspected[:HEARTBEAT_RECEIVERS]
-        lost_peers = [
+        suspected_ids = [
             each
             for each in ranked[: HEARTBEAT_RECEIVERS + 1]
             if each in membership.suspected
         ]
-        # Without probes, only a request would detect that a lost owner is
+        # Without probes, only a request would detect that a suspected owner is
         # reachable again.
-        targets += self._pace.select_probe_targets(lost_peers, now_ms())
+        targets += self._pace.select_probe_targets(suspected_ids, now_ms())
         return [each for each in targets if each != own_id]
 
     async def _async_send_heartbeat(self, peer_id: str) -> None:
@@ -189,16 +189,16 @@
             not peers.has_connection(peer_id)
             and not self._pace.may_open_connection()
         ):
-            self._unanswered_ms.pop(peer_id, None)
+            self._unanswered_since_ms.pop(peer_id, None)
             return
-        since_ms = self._unanswered_ms.setdefault(peer_id, now)
+        since_ms = self._unanswered_since_ms.setdefault(peer_id, now)
         if now - since_ms > self._pace.silence_timeout_ms:
             _LOGGER.warning(
                 'peer is silent',
                 peer=peer_id,
                 silent_ms=int(now - since_ms),
             )
-            self._unanswered_ms.pop(peer_id)
+            self._unanswered_since_ms.pop(peer_id)
             self.liveness.drop(peer_id)
             await peers.async_disconnect(peer_id)
             return
@@ -237,7 +237,7 @@
         self.liveness.record_heartbeat(
             peer_id,
             heartbeat.stamp_ms,
-            is_usable=heartbeat.configuration_version > 0,
+            can_serve=heartbeat.configuration_version > 0,
         )
         dependencies.spending_reports.record(
             peer_id, heartbeat.spent, heartbeat.memory_ms
@@ -304,7 +304,7 @@
             _LOGGER.warning('peer sent an invalid engine entry')
             return
         if dependencies.directory.update(message.version, engines):
-            dependencies.apply_slowness(
+            dependencies.record_slowness(
                 {entry.name: entry.slowness for entry in message.engines},
             )
             dependencies.on_engines_changed()
--- a/hornbeamdeck/process/instance.py
+++ b/hornbeamdeck/process/instance.py
@@ -32,6 +32,7 @@
 _LOGGER = structlog.get_logger(prefix='instance')
 
 DRAIN_POLL_MS: Final = 50
+# Draining ends after this many consecutive polls without pending work.
 IDLE_POLLS: Final = 4
 
 
--- a/hornbeamdeck/process/instance_components.py
+++ b/hornbeamdeck/process/instance_components.py
@@ -122,11 +122,11 @@
     metrics: Metrics,
     scheduler: Scheduler,
 ) -> ConfigurationFollower[Configuration]:
-    async def _async_adopted(configuration: Configuration) -> None:
+    async def _async_applied(configuration: Configuration) -> None:
         metrics.configuration_version.set(configuration.version)
         scheduler.apply_configuration(configuration)
 
-    return make_configuration_follower(platform, _async_adopted)
+    return make_configuration_follower(platform, _async_applied)
 
 
 def _make_identity(
--- a/hornbeamdeck/process/liveness.py
+++ b/hornbeamdeck/process/liveness.py
@@ -43,17 +43,18 @@
     def __init__(
         self,
         membership: Membership,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         pace: HeartbeatPace,
     ) -> None:
-        """Start counting this process's age.
+        """Start without heartbeats; this process's age counts from now.
 
-        :param version: returns the configuration version held here.
+        :param configuration_version: returns the configuration version held
+            here.
         :param pace: intervals of heartbeats in this fleet.
         """
         self.started_ms = now_ms()
         self._membership = membership
-        self._version = version
+        self._configuration_version = configuration_version
         self._pace = pace
         self._last_heartbeats: dict[str, LastHeartbeat] = {}
         self._reported_live: dict[str, frozenset[str]] = {}
@@ -61,14 +62,14 @@
         self._share_until_ms = 0.0
 
     def record_heartbeat(
-        self, peer_id: str, stamp_ms: int, *, is_usable: bool
+        self, peer_id: str, stamp_ms: int, *, can_serve: bool
     ) -> None:
         """Record a heartbeat of a peer.
 
-        :param is_usable: whether the peer can serve requests.
+        :param can_serve: whether the peer can serve requests.
         """
         self._last_heartbeats[peer_id] = LastHeartbeat(
-            stamp_ms, now_ms(), is_usable
+            stamp_ms, now_ms(), can_serve
         )
 
     def last_heartbeat(self, peer_id: str) -> LastHeartbeat:
@@ -78,7 +79,7 @@
         )
 
     def drop(self, peer_id: str) -> None:
-        """Drop the last heartbeat of a peer that no longer answers."""
+        """Drop the last heartbeat of a peer that no longer responds."""
         self._last_heartbeats.pop(peer_id, None)
 
     def record_reported_live(
@@ -100,7 +101,7 @@
             live_ids = set(reported)
         else:
             live_ids = self._recent_peers()
-        if own.state == STATE_LIVE and self._version():
+        if own.state == STATE_LIVE and self._configuration_version():
             live_ids.add(own.instance_id)
         else:
             live_ids.discard(own.instance_id)
@@ -117,7 +118,10 @@
             and status.state == STATE_LIVE
             and status.instance_id != membership.own_status.instance_id
         ]
-        if membership.own_status.state == STATE_LIVE and self._version():
+        if (
+            membership.own_status.state == STATE_LIVE
+            and self._configuration_version()
+        ):
             others.append(membership.own_status)
         return others
 
--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -3,7 +3,8 @@
 Three sources are merged: the status object that each instance writes once at
 start, the platform's instance list, which lags behind, and the state of this
 process's own connections. Connections show a failure first. The suspicion that
-follows lasts a few seconds and makes only this process use the next owner.
+follows expires after seconds, or after a minute at most if it recurs, and makes
+only this process use the next owner.
 """
 
 import json
@@ -59,7 +60,7 @@
         return _encode(self)
 
 
-# Cached, since each of the first peers by rank sends the same status objects
+# Cached, since each of the first-ranked peers sends the same status objects
 # and sends them again after a reconnect.
 @lru_cache(maxsize=STATUS_CACHE_SIZE)
 def _decode(text: str) -> InstanceStatus:
@@ -163,7 +164,7 @@
         self.suspected.add(instance_id)
 
     def clear_suspicion(self, instance_id: str) -> None:
-        """End the suspicion of an instance that has answered."""
+        """End the suspicion of an instance that has responded."""
         if self.suspected.remove(instance_id):
             self._owners.clear()
 
@@ -183,8 +184,8 @@
         # Until its status is published, no other instance counts this process
         # as a possible owner. If it counted itself, its cells would have two
         # owners.
-        is_owner = self.is_published or not others
-        if self.own_status.state == STATE_LIVE and is_owner:
+        may_own = self.is_published or not others
+        if self.own_status.state == STATE_LIVE and may_own:
             others.append(self.own_status)
         return others
 
@@ -290,7 +291,7 @@
 
 
 def _cores_by_instance(statuses: Iterable[InstanceStatus]) -> dict[str, float]:
-    """Map instances to their processor cores, which rank before the hash.
+    """Map instances to their processor cores, which ranking compares first.
 
     An owner serves the whole fleet, and a small instance would be overloaded
     as owner.
--- a/hornbeamdeck/process/owner_watch.py
+++ b/hornbeamdeck/process/owner_watch.py
@@ -36,7 +36,7 @@
         """
         self._peers = peers
         self._awaited_owners = awaited_owners
-        self._unanswered_ms: dict[str, float] = {}
+        self._unanswered_since_ms: dict[str, float] = {}
         self._last_message_ms: dict[str, float] = {}
         self._has_waiting = Event()
 
@@ -47,7 +47,7 @@
     def record_message(self, owner: str) -> None:
         """Record that an owner has sent a message."""
         self._last_message_ms[owner] = now_ms()
-        self._unanswered_ms.pop(owner, None)
+        self._unanswered_since_ms.pop(owner, None)
 
     async def async_run(self) -> None:
         """Probe owners periodically, forever."""
@@ -56,8 +56,8 @@
             if not owners:
                 self._has_waiting.clear()
                 await self._has_waiting.wait()
-            for former in self._unanswered_ms.keys() - owners:
-                self._unanswered_ms.pop(former)
+            for former in self._unanswered_since_ms.keys() - owners:
+                self._unanswered_since_ms.pop(former)
             for former in self._last_message_ms.keys() - owners:
                 self._last_message_ms.pop(former)
             for owner in owners:
@@ -70,11 +70,11 @@
             now - self._last_message_ms.get(owner, -math.inf)
             < PROBE_INTERVAL_MS
         ):
-            # Its grants and heartbeats show that it is live. Responding to
-            # probes from each instance of the fleet would cost the owner more
-            # than sending those.
+            # The owner's grants and heartbeats show that it is live. Responding
+            # to probes from each instance of the fleet as well would cost it
+            # more than sending the grants and heartbeats.
             return
-        since_ms = self._unanswered_ms.setdefault(owner, now)
+        since_ms = self._unanswered_since_ms.setdefault(owner, now)
         if now - since_ms > SILENCE_TIMEOUT_MS:
             _LOGGER.warning('owner is silent', owner=owner)
             await self._peers.async_disconnect(owner)
--- a/hornbeamdeck/process/peer_server.py
+++ b/hornbeamdeck/process/peer_server.py
@@ -34,15 +34,15 @@
 
 _LOGGER = structlog.get_logger(prefix='peers')
 
-_Held = TypeVar('_Held', bound=VersionedDocument)
+_Configuration = TypeVar('_Configuration', bound=VersionedDocument)
 OnOtherMessage: TypeAlias = Callable[[str, Message, Deliver], Awaitable[None]]
 
 
 def make_peer_server(
     identity: PeerIdentity,
     scheduler: Scheduler,
-    follower: ConfigurationFollower[_Held],
-    snapshots: Snapshots[_Held],
+    follower: ConfigurationFollower[_Configuration],
+    snapshots: Snapshots[_Configuration],
     on_other: OnOtherMessage | None = None,
 ) -> ServeConnection:
     """Make the function that serves one peer's connection.
@@ -93,7 +93,7 @@
 async def _async_reply(
     message: Message,
     connection: PeerConnection,
-    snapshots: Snapshots[_Held],
+    snapshots: Snapshots[_Configuration],
 ) -> None:
     if isinstance(message, Heartbeat):
         reply = Heartbeat(sequence=message.sequence, is_reply=True)
--- a/hornbeamdeck/process/poison_reports.py
+++ b/hornbeamdeck/process/poison_reports.py
@@ -1,8 +1,8 @@
-"""Poison requests that owners have reported to this ingress.
+"""Suspected poison requests that owners have reported to this ingress.
 
-Owners keep reports of requests that crash engines in memory only. If the
-reports were lost with an owner, such a request would crash two more engines
-under each following owner.
+Owners store their records of requests that crash engines only in memory. If a
+record were lost with its owner, the request would crash two more engines under
+each following owner.
 """
 
 from typing import Final, NamedTuple
@@ -13,10 +13,10 @@
 
 __all__ = ('PoisonReports',)
 
-MAX_SUSPECTS: Final = 1000
+MAX_REPORTS: Final = 1000
 
 
-class _ReportedSuspect(NamedTuple):
+class _Report(NamedTuple):
     suspect: Suspect
     owner: str
 
@@ -28,13 +28,13 @@
         """Start without suspected requests."""
         self._membership = membership
         self._link = link
-        self._reports: dict[str, _ReportedSuspect] = {}
+        self._reports: dict[str, _Report] = {}
 
     def record(self, owner: str, suspect: Suspect) -> None:
         """Record a suspected request that an owner reports."""
         self._reports.pop(suspect.fingerprint, None)
-        self._reports[suspect.fingerprint] = _ReportedSuspect(suspect, owner)
-        if len(self._reports) > MAX_SUSPECTS:
+        self._reports[suspect.fingerprint] = _Report(suspect, owner)
+        if len(self._reports) > MAX_REPORTS:
             self._reports.pop(next(iter(self._reports)))
 
     def owners(self) -> set[str]:
@@ -49,7 +49,5 @@
         for suspect, _ in reported:
             successor = self._membership.owner_of(suspect.cell)
             if successor != owner:
-                self._reports[suspect.fingerprint] = _ReportedSuspect(
-                    suspect, successor
-                )
+                self._reports[suspect.fingerprint] = _Report(suspect, successor)
                 await self._link.async_send(successor, suspect)
--- a/hornbeamdeck/process/rendezvous.py
+++ b/hornbeamdeck/process/rendezvous.py
@@ -13,7 +13,8 @@
 __all__ = ('owner_of', 'ranking')
 
 _DIGEST_BYTES: Final = 8
-# Scores are needed for each heartbeat and for each scan of the store.
+# Scores are needed for each heartbeat and for each check whether a read of the
+# store is due.
 SCORE_CACHE_SIZE: Final = 8192
 
 
--- a/hornbeamdeck/process/sent_updates.py
+++ b/hornbeamdeck/process/sent_updates.py
@@ -8,8 +8,8 @@
 __all__ = ('STATUS_RESEND_MS', 'SentUpdates')
 
 # How often an unchanged status object is sent again to a peer: with each eighth
-# heartbeat, which costs little. A status that was lost is missing for no longer
-# than callers cache the response to an addresses request.
+# heartbeat of a small fleet, which costs little. A status that was lost is
+# missing for no longer than callers cache the list of addresses.
 STATUS_RESEND_MS: Final = 2000
 
 
--- a/hornbeamdeck/process/settings.py
+++ b/hornbeamdeck/process/settings.py
@@ -77,7 +77,7 @@
 
     :param address: where callers connect; port 0 lets the system choose.
     :param peer_address: where other instances connect.
-    :param seed_peers: addresses of peers that are requested for a snapshot
+    :param seed_peers: addresses of peers from which a snapshot is requested
         while the store is down.
     :param drain_ms: longest duration of a graceful shutdown, milliseconds.
     :param entries_ttl_ms: how long callers may cache the list of addresses.
--- a/hornbeamdeck/process/snapshots.py
+++ b/hornbeamdeck/process/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots that peers exchange while the store does not answer.
+"""Snapshots that peers exchange while the store does not respond.
 
 An instance that starts during an outage of the store has neither the
 configuration nor the status of its peers; one whose watch hangs has an old
@@ -41,15 +41,15 @@
 # force within two seconds, of which one or two heartbeat intervals have passed.
 PEER_TIMEOUT_MS: Final = 500
 
-_Held = TypeVar('_Held', bound=VersionedDocument)
+_Configuration = TypeVar('_Configuration', bound=VersionedDocument)
 
 
-class Snapshots(Generic[_Held]):
+class Snapshots(Generic[_Configuration]):
     """Serves and requests snapshots of configuration and membership."""
 
     def __init__(
         self,
-        follower: ConfigurationFollower[_Held],
+        follower: ConfigurationFollower[_Configuration],
         membership: Membership,
         identity: PeerIdentity,
     ) -> None:
@@ -60,11 +60,11 @@
 
     def make_snapshot(self, request: AskSnapshot) -> Snapshot:
         """Make a snapshot of the configuration and the live instances."""
-        held = self._follower.configuration
-        is_newer = held.version > request.known_version
+        current = self._follower.configuration
+        is_newer = current.version > request.known_version
         return Snapshot(
-            configuration_version=held.version,
-            document=held.document if is_newer else '',
+            configuration_version=current.version,
+            document=current.document if is_newer else '',
             statuses=[each.to_text() for each in self._membership.live()],
         )
 
@@ -75,10 +75,10 @@
             await self._async_apply_from(status.peer_address, PEER_TIMEOUT_MS)
 
     async def async_fetch_from_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Request snapshots from the seeds in turn until one is applied.
+        """Request snapshots from seeds until a configuration is in force.
 
-        The store is read at the same time. Stop as soon as a configuration is
-        in force, from whichever source came first.
+        Each seed is used in turn. The store is read at the same time, so
+        the configuration may also come from there.
         """
         waits = backoff_s()
         while seeds and not self._follower.configuration.version:
--- a/hornbeamdeck/process/spending.py
+++ b/hornbeamdeck/process/spending.py
@@ -19,12 +19,12 @@
 class SpendingLog:
     """Tokens granted to requests of this ingress within a window.
 
-    An owner keeps the spending of teams in memory. If it were lost with the
-    owner, the next owner would grant each team a full burst again.
+    An owner stores the spending of teams only in memory. If it were lost with
+    the owner, the next owner would grant each team a full burst again.
     """
 
     def __init__(self, window_ms: float) -> None:
-        """Keep spending for a window in milliseconds."""
+        """Record spending within a window in milliseconds."""
         self._window_ms = window_ms
         self._log: deque[_Spent] = deque()
         self._totals: dict[str, int] = {}
@@ -85,7 +85,7 @@
     def is_complete(self) -> bool:
         """Return whether enough reports cover a whole window.
 
-        At least half of the instances must, and at least one.
+        At least half of the reporting instances must, and at least one.
         """
         covering = sum(
             memory_ms >= self._window_ms
--- a/hornbeamdeck/process/store_interface.py
+++ b/hornbeamdeck/process/store_interface.py
@@ -71,7 +71,7 @@
     [],
     Awaitable[Result[tuple[InstanceStatus, ...], StoreUnavailable]],
 ]
-Publish: TypeAlias = Callable[
+StatusCall: TypeAlias = Callable[
     [InstanceStatus],
     Awaitable[Result[None, StoreUnavailable]],
 ]
@@ -91,5 +91,5 @@
     list_engines: ListEngines
     watch_engines: WatchEngines
     list_instances: ListInstances
-    write_status: Publish
-    delete_status: Publish
+    write_status: StatusCall
+    delete_status: StatusCall
--- a/hornbeamdeck/process/store_reader.py
+++ b/hornbeamdeck/process/store_reader.py
@@ -66,18 +66,18 @@
     :param rank: returns this process's rank; the owner has rank 0.
     :param is_owner: whether this process owns the fleet's cells now.
     :param has_owner_lost_store: whether the owner can't reach the store.
-    :param version: returns the version of this process's configuration.
+    :param configuration_version: returns the configuration version held here.
     :param on_document: called with each document that was read.
     :param on_engines_changed: called when the list of engines has changed.
     """
 
-    access: StoreInterface
+    store: StoreInterface
     freshness: Freshness
     directory: EngineDirectory
     rank: Callable[[], int]
     is_owner: Callable[[], bool]
     has_owner_lost_store: Callable[[], bool]
-    version: Callable[[], int]
+    configuration_version: Callable[[], int]
     on_document: Callable[[StoredObject], Awaitable[None]]
     on_engines_changed: Callable[[], None]
 
@@ -88,7 +88,7 @@
     def __init__(self, dependencies: StoreReaderDependencies) -> None:
         """Create the reader; reading starts with the `async_follow` methods."""
         self._dependencies = dependencies
-        self._registry = StoreEngineList()
+        self._engine_list = StoreEngineList()
         self._engines_revision = 0
         self._has_engines_read_failed = False
         self.is_store_reached = True
@@ -98,7 +98,7 @@
         is_watching = False
         while True:
             if not self._is_due(
-                self._configuration_age(), CONFIGURATION_MAX_AGE_MS
+                self._configuration_age_ms(), CONFIGURATION_MAX_AGE_MS
             ):
                 is_watching = False
                 await sleep(self._check_interval_ms() / MILLIS_PER_SECOND)
@@ -136,7 +136,7 @@
         :returns: whether the store returned a document.
         """
         requested_ms = now_ms()
-        response = await self._dependencies.access.read_configuration()
+        response = await self._dependencies.store.read_configuration()
         if isinstance(response, Err):
             self._record_failure('configuration', response.err_value)
             return False
@@ -153,8 +153,8 @@
 
     async def _async_watch_configuration(self) -> bool:
         requested_ms = now_ms()
-        version = self._dependencies.version()
-        response = await self._dependencies.access.watch_configuration(
+        version = self._dependencies.configuration_version()
+        response = await self._dependencies.store.watch_configuration(
             version, WATCH_TIMEOUT_MS
         )
         if isinstance(response, Err):
@@ -180,11 +180,11 @@
 
     async def _async_read_engines(self, revision: int) -> int:
         requested_ms = now_ms()
-        access = self._dependencies.access
+        store = self._dependencies.store
         if revision:
-            response = await access.watch_engines(revision, WATCH_TIMEOUT_MS)
+            response = await store.watch_engines(revision, WATCH_TIMEOUT_MS)
         else:
-            response = await access.list_engines()
+            response = await store.list_engines()
         if isinstance(response, Err):
             if isinstance(response.err_value, StoreUnavailable):
                 self._has_engines_read_failed = True
@@ -211,7 +211,7 @@
             return
         self._engines_revision = read.revision
         if is_complete:
-            self._registry.apply_list(
+            self._engine_list.apply_list(
                 read.changes,
                 directory.engines,
                 # A stale list without a failed read is caused by a lagging
@@ -223,8 +223,8 @@
             )
             self._has_engines_read_failed = False
         else:
-            self._registry.apply_changes(read.changes, now)
-        engines = self._registry.usable_engines(now)
+            self._engine_list.apply_changes(read.changes, now)
+        engines = self._engine_list.usable_engines(now)
         version = directory.version_for_revision(read.revision)
         if version is not None and engines != dict(directory.engines):
             directory.update(version, engines.values())
@@ -265,9 +265,9 @@
             dependencies.rank() * RANK_DELAY_MS, MAX_RANK_DELAY_MS
         )
 
-    def _configuration_age(self) -> float:
+    def _configuration_age_ms(self) -> float:
         return self._dependencies.freshness.age_ms(
-            self._dependencies.version(), now_ms()
+            self._dependencies.configuration_version(), now_ms()
         )
 
     def _record_failure(self, resource: str, error: StoreUnavailable) -> None:
--- a/tests/process/test_engine_directory.py
+++ b/tests/process/test_engine_directory.py
@@ -43,7 +43,7 @@
     assert later > again
 
 
-def test_engine_has_left_when_it_drains_or_is_no_longer_listed() -> None:
+def test_engine_is_recognized_as_draining_or_removed() -> None:
     """Guards against grants that are used after their engine was removed."""
     directory = EngineDirectory()
     assert not directory.is_draining_or_removed('engine-1')
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -43,13 +43,13 @@
     :param peer_version: the version that the peer returns; 0 for none.
     :returns: the version in force afterwards.
     """
-    kind = DocumentSource(
+    source = DocumentSource(
         empty=_Document(0, ''),
         parse=lambda text, version: Ok(_Document(version, text)),
         fetch=fetch,
-        on_adopted=_async_ignore,
+        on_applied=_async_ignore,
     )
-    follower = ConfigurationFollower(kind)
+    follower = ConfigurationFollower(source)
 
     async def _async_fetch_from_peer(_peer_id: str) -> None:
         if peer_version:
--- a/tests/process/test_heartbeats.py
+++ b/tests/process/test_heartbeats.py
@@ -81,7 +81,7 @@
                 spending_reports=SpendingReports(8000),
                 configuration_version=lambda: VERSION,
                 engine_slowness=dict,
-                apply_slowness=lambda _learned: None,
+                record_slowness=lambda _reported: None,
                 on_engines_changed=lambda: None,
                 is_store_reached=lambda: True,
                 is_first_start=False,
@@ -98,8 +98,8 @@
 
 
 def _status(name: str) -> InstanceStatus:
-    anywhere = Address('127.0.0.1', 1)
-    return InstanceStatus(name, anywhere, anywhere, 'z1', name, STATE_LIVE)
+    address = Address('127.0.0.1', 1)
+    return InstanceStatus(name, address, address, 'z1', name, STATE_LIVE)
 
 
 @pytest.fixture
@@ -153,8 +153,9 @@
 def test_transit_time_never_makes_a_confirmation_younger(
     clock: _SimulatedTime,
 ) -> None:
-    """A heartbeat is queued behind a partition for seconds. If confirmations
-    counted from its arrival, keys revoked meanwhile would still be accepted.
+    """A heartbeat is delayed for seconds by a network partition. If
+    confirmations counted from its arrival, keys revoked meanwhile would still
+    be accepted.
     """
 
     @given(DELAYS)
@@ -337,20 +338,20 @@
     assert pace.liveness_timeout_ms >= pace.silence_timeout_ms
 
 
-def test_small_fleet_probes_all_lost_peers_at_once() -> None:
+def test_small_fleet_probes_all_suspected_peers_at_once() -> None:
     """Guards against two owners for seconds after a partition has healed."""
-    lost = ['a', 'b', 'c', 'd']
+    suspected = ['a', 'b', 'c', 'd']
     small = heartbeat_pace.HeartbeatPace(lambda: 13)
     assert set(
         small.select_probe_targets(
-            lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
+            suspected, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 1
         )
-    ) == set(lost)
+    ) == set(suspected)
     assert not small.select_probe_targets(
-        lost, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2
+        suspected, heartbeat_pace.MIN_PROBE_INTERVAL_MS + 2
     )
     large = heartbeat_pace.HeartbeatPace(lambda: FLEET)
-    assert len(large.select_probe_targets(lost, 1_000_000)) == 1
+    assert len(large.select_probe_targets(suspected, 1_000_000)) == 1
 
 
 def test_liveness_lists_the_fleet_only_a_few_times(
@@ -363,7 +364,7 @@
     node, _ = _large_fleet(clock)[0]
     for number in range(1, FLEET):
         node.heartbeats.liveness.record_heartbeat(
-            f'front-{number}', 1, is_usable=True
+            f'front-{number}', 1, can_serve=True
         )
     calls = []
     known = Membership.known_peers
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -8,7 +8,7 @@
 
 from hornbeamdeck.connection.address import Address
 from hornbeamdeck.connection.store_client import ListedInstance, StoredObject
-from hornbeamdeck.process import membership as module
+from hornbeamdeck.process import membership as membership_module
 from hornbeamdeck.process.membership import InstanceStatus, Membership
 from hornbeamdeck.process.rendezvous import owner_of, ranking
 
@@ -73,11 +73,11 @@
     steps: list[tuple[Any, ...]],
 ) -> None:
     """The owner of a cell is cached to save hashing. A cache entry that
-    outlives a membership change would send requests to an instance that has
-    gone.
+    outlives a membership change would send requests to an instance that is
+    no longer live.
     """
     clock = [0.0]
-    with mock.patch.object(module, 'now_ms', lambda: clock[0]):
+    with mock.patch.object(membership_module, 'now_ms', lambda: clock[0]):
         members = Membership(status('a'))
         members.mark_published()
         for step in steps:
@@ -113,7 +113,7 @@
     twice their limits for the whole outage.
     """
     clock = [0.0]
-    with mock.patch.object(module, 'now_ms', lambda: clock[0]):
+    with mock.patch.object(membership_module, 'now_ms', lambda: clock[0]):
         members = Membership(status('a'))
         members.mark_published()
         members.apply_status(stored('b'))
--- a/tests/process/test_outages.py
+++ b/tests/process/test_outages.py
@@ -51,8 +51,8 @@
     peer's message and must get the document from that peer.
     """
     owner = fleet.owner_of('desk')
-    behind = next(each for each in fleet.instances if each is not owner)
-    follower = behind.components.follower
+    lagging = next(each for each in fleet.instances if each is not owner)
+    follower = lagging.components.follower
 
     async def _async_ignore_change(change: object) -> None:
         await sleep(0)
@@ -66,8 +66,8 @@
     await _async_until_version(owner, version)
     _set(fleet, is_down=True)
     follower.async_note = real_note  # type: ignore[method-assign]
-    await async_call(completion_entry(), 1, behind.own.address)
-    await _async_until_version(behind, version)
+    await async_call(completion_entry(), 1, lagging.own.address)
+    await _async_until_version(lagging, version)
 
 
 @on_fleet(PLAN)
@@ -142,8 +142,8 @@
     document['teams'] = document['teams'][:2]
     await fleet.async_put_configuration(json.dumps(document))
     await _async_until_version(fleet.instances[0], old.version + 1)
-    got = await components.platform.async_get('configuration', role='test')
-    stored = got.unwrap()
+    response = await components.platform.async_get('configuration', role='test')
+    stored = response.unwrap()
     assert stored is not None
     stale = stored._replace(version=old.version, body=old.document)
     await components.follower.async_note(stale)
--- a/tests/process/test_owner_loss.py
+++ b/tests/process/test_owner_loss.py
@@ -47,7 +47,7 @@
 async def test_owner_is_killed_with_fifty_waiting(fleet: Fleet) -> None:
     """The owner, which grants the slots of the only engine, is killed while
     fifty requests wait at the other two instances. Each request must get its
-    own response after a short gap, and the engine must run each once.
+    own response after a short delay, and the engine must run each once.
     """
     owner = fleet.owner_of('desk')
     others = _others(fleet, owner)
--- a/tests/process/test_store_engine_list.py
+++ b/tests/process/test_store_engine_list.py
@@ -11,21 +11,21 @@
 CURRENT = {'e1': engine('e1'), 'e2': engine('e2')}
 
 
-def _usable(registry: StoreEngineList, now: float) -> set[str]:
-    return set(registry.usable_engines(now))
+def _usable(engine_list: StoreEngineList, now: float) -> set[str]:
+    return set(engine_list.usable_engines(now))
 
 
-def _registry() -> StoreEngineList:
-    """Return a registry that read both engines long ago."""
-    registry = StoreEngineList()
-    registry.apply_list(BOTH, {}, confirmation_age_ms=0, now=0)
-    return registry
+def _engine_list() -> StoreEngineList:
+    """Return a list that read both engines long ago."""
+    engine_list = StoreEngineList()
+    engine_list.apply_list(BOTH, {}, confirmation_age_ms=0, now=0)
+    return engine_list
 
 
 def test_removed_entry_is_dropped_immediately() -> None:
-    registry = _registry()
-    registry.apply_changes([EngineChange('e1', None)], 1000)
-    assert _usable(registry, 1000) == {'e2'}
+    engine_list = _engine_list()
+    engine_list.apply_changes([EngineChange('e1', None)], 1000)
+    assert _usable(engine_list, 1000) == {'e2'}
 
 
 def test_entries_that_expired_during_an_outage_are_retained() -> None:
@@ -33,33 +33,33 @@
     empty although all engines are running; they register again within two
     seconds.
     """
-    registry = _registry()
-    registry.apply_list((), CURRENT, confirmation_age_ms=9000, now=10_000)
-    assert _usable(registry, 10_500) == {'e1', 'e2'}
-    registry.apply_changes([BOTH[0]], 11_000)
-    assert _usable(registry, 12_500) == {'e1'}
+    engine_list = _engine_list()
+    engine_list.apply_list((), CURRENT, confirmation_age_ms=9000, now=10_000)
+    assert _usable(engine_list, 10_500) == {'e1', 'e2'}
+    engine_list.apply_changes([BOTH[0]], 11_000)
+    assert _usable(engine_list, 12_500) == {'e1'}
 
 
 def test_draining_engine_is_not_retained() -> None:
-    registry = StoreEngineList()
+    engine_list = StoreEngineList()
     draining = engine('e1', is_draining=True)
-    registry.apply_list(
+    engine_list.apply_list(
         [EngineChange('e1', draining)], {}, confirmation_age_ms=0, now=0
     )
-    registry.apply_list(
+    engine_list.apply_list(
         (), {'e1': draining}, confirmation_age_ms=9000, now=10_000
     )
-    assert not _usable(registry, 10_100)
+    assert not _usable(engine_list, 10_100)
 
 
 def test_engines_received_from_a_peer_are_retained() -> None:
     """An instance starts to read the store itself right after an outage. It
     received its engines from a peer; the expired list must not remove them.
     """
-    registry = StoreEngineList()
+    engine_list = StoreEngineList()
     current = {'e1': engine('e1')}
-    registry.apply_list((), current, confirmation_age_ms=9000, now=10_000)
-    assert _usable(registry, 10_100) == {'e1'}
+    engine_list.apply_list((), current, confirmation_age_ms=9000, now=10_000)
+    assert _usable(engine_list, 10_100) == {'e1'}
 
 
 def test_rejected_instance_does_not_restore_removed_engines() -> None:
@@ -69,20 +69,20 @@
     the engine from an old copy: requests would be sent to it seconds after it
     stopped.
     """
-    registry = _registry()
+    engine_list = _engine_list()
     reported_by_peers = {'e2': engine('e2')}
-    registry.apply_list(
+    engine_list.apply_list(
         (BOTH[1],), reported_by_peers, confirmation_age_ms=400, now=10_000
     )
-    assert _usable(registry, 10_000) == {'e2'}
+    assert _usable(engine_list, 10_000) == {'e2'}
 
 
 def test_engine_removed_while_only_own_calls_are_rejected_is_dropped() -> None:
     """As above, but the engine stops so late that no peer has reported it yet.
     The store served the peers, so it was not down and its list is correct.
     """
-    registry = _registry()
-    registry.apply_list(
+    engine_list = _engine_list()
+    engine_list.apply_list(
         (BOTH[1],), CURRENT, confirmation_age_ms=OUTAGE_MS / 2, now=10_000
     )
-    assert _usable(registry, 10_000) == {'e2'}
+    assert _usable(engine_list, 10_000) == {'e2'}
--- a/tests/process/test_store_reader.py
+++ b/tests/process/test_store_reader.py
@@ -32,13 +32,13 @@
 ) -> StoreReader:
     return StoreReader(
         StoreReaderDependencies(
-            access=cast(StoreInterface, None),
+            store=cast(StoreInterface, None),
             freshness=Freshness(),
             directory=EngineDirectory(),
             rank=lambda: rank,
             is_owner=lambda: is_owner,
             has_owner_lost_store=lambda: has_owner_lost_store,
-            version=lambda: 1,
+            configuration_version=lambda: 1,
             on_document=_async_ignore,
             on_engines_changed=lambda: None,
         ),
@@ -103,9 +103,9 @@
         raise _SleepReached
 
     reader = _reader(rank=3, is_owner=False, has_owner_lost_store=False)
-    access = SimpleNamespace(read_configuration=_async_read)
+    store = SimpleNamespace(read_configuration=_async_read)
     reader._dependencies = reader._dependencies._replace(
-        access=cast(StoreInterface, access)
+        store=cast(StoreInterface, store)
     )
     monkeypatch.setattr(SLEEP, _async_sleep)
     with pytest.raises(_SleepReached):
