--- a/hornbeamdeck/connection/client.py
+++ b/hornbeamdeck/connection/client.py
@@ -168,7 +168,7 @@
                 return Err(ConnectionBroken('the response body is too large'))
 
     async def async_close(self) -> None:
-        """Close; the upstream treats an unfinished run as cancelled."""
+        """Close; the upstream cancels an unfinished run unless resumable."""
         await self._sock.close()
 
     def _encode_head(self, method: str, target: str, headers: Headers) -> bytes:
--- a/hornbeamdeck/connection/connection_pool.py
+++ b/hornbeamdeck/connection/connection_pool.py
@@ -73,7 +73,8 @@
     ) -> None:
         """Return a connection to the pool after a response, or close it.
 
-        It is closed when it can't be reused or the pool is full.
+        It is closed when it can't be reused, or when the pool already holds
+        this instance's share of the idle connections to the engine.
 
         :param idle_ms: how long it may stay idle, milliseconds; 0: not at all.
         """
--- a/hornbeamdeck/connection/errors.py
+++ b/hornbeamdeck/connection/errors.py
@@ -6,7 +6,7 @@
     'BadRequest',
     'ConnectFailed',
     'ConnectionBroken',
-    'PeerClosed',
+    'CallerClosed',
     'ReadError',
 )
 
@@ -24,8 +24,8 @@
     cause: str
 
 
-class PeerClosed(NamedTuple):
-    """The other side closed between two messages, which is allowed."""
+class CallerClosed(NamedTuple):
+    """The caller closed, or idled too long, before its next request."""
 
 
 class BadRequest(NamedTuple):
@@ -35,4 +35,4 @@
     detail: str
 
 
-ReadError: TypeAlias = BadRequest | PeerClosed | ConnectionBroken
+ReadError: TypeAlias = BadRequest | CallerClosed | ConnectionBroken
--- a/hornbeamdeck/connection/listener.py
+++ b/hornbeamdeck/connection/listener.py
@@ -58,6 +58,7 @@
         while True:
             client, _ = await sock.accept()
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            # Filled after the spawn, because only then the task is known.
             own_task: list[Task] = []
             task = await spawn(_async_serve, client, own_task, daemon=True)
             own_task.append(task)
--- a/hornbeamdeck/connection/peer.py
+++ b/hornbeamdeck/connection/peer.py
@@ -25,7 +25,7 @@
     decode_frame,
     encode_frame,
 )
-from hornbeamdeck.wire.codec import LENGTH
+from hornbeamdeck.wire.codec import LENGTH_PREFIX
 
 __all__ = ('PeerConnection', 'PeerIdentity', 'PeerError')
 
@@ -117,8 +117,8 @@
     async def async_receive(self) -> Result[Envelope, ConnectionBroken]:
         """Receive the next message."""
         try:
-            header = await self._async_read_exactly(LENGTH.size)
-            length = LENGTH.unpack(header)[0]
+            header = await self._async_read_exactly(LENGTH_PREFIX.size)
+            length = LENGTH_PREFIX.unpack(header)[0]
             if length > self._max_frame_bytes:
                 return Err(
                     ConnectionBroken(
@@ -223,7 +223,7 @@
             digestmod=hashlib.sha256,
         )
         for part in parts:
-            digest.update(LENGTH.pack(len(part)))
+            digest.update(LENGTH_PREFIX.pack(len(part)))
             digest.update(part)
         return digest.digest()
 
--- a/hornbeamdeck/connection/reader.py
+++ b/hornbeamdeck/connection/reader.py
@@ -11,8 +11,8 @@
 from hornbeamdeck.clock import async_with_timeout
 from hornbeamdeck.connection.errors import (
     BadRequest,
+    CallerClosed,
     ConnectionBroken,
-    PeerClosed,
     ReadError,
 )
 from hornbeamdeck.connection.http import HttpRequest, join_headers
@@ -65,7 +65,7 @@
                 self._async_wait_first_byte(),
             )
         except TaskTimeout:
-            return Err(PeerClosed())
+            return Err(CallerClosed())
         if isinstance(first_byte, Err):
             return first_byte
         try:
@@ -81,7 +81,7 @@
                 ),
             )
 
-    async def async_wait_closed(self) -> None:
+    async def async_wait_disconnected(self) -> None:
         """Return when the caller has disconnected.
 
         Bytes of the next request that arrive meanwhile are buffered, up to the
@@ -117,7 +117,7 @@
         except OSError as error:
             return Err(ConnectionBroken(repr(error)))
         if not received and self._protocol.their_state is h11.IDLE:
-            return Err(PeerClosed())
+            return Err(CallerClosed())
         self._protocol.receive_data(received)
         return Ok(None)
 
@@ -135,7 +135,7 @@
             return head
         request = head.ok_value
         if not isinstance(request, h11.Request):
-            return Err(PeerClosed())
+            return Err(CallerClosed())
         body = await self._async_read_body()
         return body.map(lambda read: _to_request(request, read))
 
--- a/hornbeamdeck/connection/request_loop.py
+++ b/hornbeamdeck/connection/request_loop.py
@@ -11,18 +11,18 @@
 from hornbeamdeck.connection.reader import ReadLimits
 from hornbeamdeck.connection.server import ServerConnection
 
-__all__ = ('RequestHandler', 'Refusal', 'async_serve_requests')
+__all__ = ('RequestHandler', 'ErrorResponseBuilder', 'async_serve_requests')
 
 RequestHandler: TypeAlias = Callable[
     [HttpRequest, ServerConnection], Awaitable[None]
 ]
-Refusal: TypeAlias = Callable[[BadRequest], HttpResponse]
+ErrorResponseBuilder: TypeAlias = Callable[[BadRequest], HttpResponse]
 
 
 async def async_serve_requests(
     sock: socket.socket,
     handle_request: RequestHandler,
-    to_error_response: Refusal,
+    to_error_response: ErrorResponseBuilder,
     limits: ReadLimits | None = None,
 ) -> None:
     """Serve requests until the caller closes or the connection must close.
@@ -49,7 +49,7 @@
 async def _async_handle_read_error(
     connection: ServerConnection,
     error: ReadError,
-    to_error_response: Refusal,
+    to_error_response: ErrorResponseBuilder,
 ) -> None:
     if isinstance(error, BadRequest):
         await connection.async_respond(to_error_response(error))
@@ -66,7 +66,7 @@
     # the caller disconnects, and that cancels the run.
     serving_task = await current_task()
     watcher = await spawn(
-        _async_cancel_on_close,
+        _async_cancel_on_disconnect,
         connection,
         serving_task,
         daemon=True,
@@ -77,7 +77,7 @@
         await watcher.cancel()
 
 
-async def _async_cancel_on_close(
+async def _async_cancel_on_disconnect(
     connection: ServerConnection,
     serving_task: Task,
 ) -> None:
--- a/hornbeamdeck/connection/server.py
+++ b/hornbeamdeck/connection/server.py
@@ -80,7 +80,7 @@
 
     async def async_wait_disconnected(self) -> None:
         """Return when the caller has disconnected."""
-        await self._reader.async_wait_closed()
+        await self._reader.async_wait_disconnected()
 
     async def async_respond(
         self,
--- a/hornbeamdeck/connection/store_calls.py
+++ b/hornbeamdeck/connection/store_calls.py
@@ -68,7 +68,7 @@
         self,
         request: HttpRequest,
     ) -> Result[HttpResponse, StoreUnavailable]:
-        connection = await self._async_get_connection()
+        connection = await self._async_acquire_connection()
         if isinstance(connection, Err):
             return connection
         is_reusable = False
@@ -78,7 +78,7 @@
         finally:
             # After a cancelled or failed call the connection is closed: a late
             # response could otherwise be read as that of the next call.
-            await self._async_put_back(
+            await self._async_release_connection(
                 connection.ok_value,
                 is_reusable=is_reusable,
             )
@@ -88,7 +88,7 @@
             return Err(StoreUnavailable(f'status {response.ok_value.status}'))
         return Ok(response.ok_value)
 
-    async def _async_get_connection(
+    async def _async_acquire_connection(
         self,
     ) -> Result[ClientConnection, StoreUnavailable]:
         if self._idle:
@@ -99,7 +99,7 @@
         )
         return opened.map_err(lambda failed: StoreUnavailable(failed.cause))
 
-    async def _async_put_back(
+    async def _async_release_connection(
         self,
         connection: ClientConnection,
         *,
--- a/hornbeamdeck/connection/store_client.py
+++ b/hornbeamdeck/connection/store_client.py
@@ -44,8 +44,8 @@
 class PlatformClient:
     """Calls the store's object API over a few pooled connections.
 
-    :param role: component that makes a call; label of the metric that counts
-        calls against their budget.
+    The `role` of each call is the component that makes it. It labels the
+    metric that counts calls against their budget.
     """
 
     def __init__(
--- a/hornbeamdeck/connection/store_responses.py
+++ b/hornbeamdeck/connection/store_responses.py
@@ -25,7 +25,7 @@
     'parse_written_version',
 )
 
-_CONDITION_FAILED: Final = frozenset(
+_CONFLICT_STATUSES: Final = frozenset(
     (HTTPStatus.NOT_FOUND, HTTPStatus.PRECONDITION_FAILED),
 )
 
@@ -58,7 +58,7 @@
 
 
 class WatchResponse(NamedTuple):
-    """Changes after a revision, and the revision for the next request."""
+    """Listed or changed objects, and the revision to watch from next."""
 
     revision: int
     changes: tuple[StoredObject, ...]
@@ -96,7 +96,7 @@
 ) -> Result[int, StoreError]:
     """Parse the version that a conditional write returned."""
     status = written.map_or(0, lambda response: response.status)
-    if status in _CONDITION_FAILED:
+    if status in _CONFLICT_STATUSES:
         return Err(VersionConflict())
     return parse_response(written, _parse_version)
 
--- a/hornbeamdeck/coordination/__init__.py
+++ b/hornbeamdeck/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination classes for use in other programs, without the daemon.
+"""Coordination classes for other programs; none needs a running instance.
 
 `docs/coordination.md` describes each; `examples/` holds programs.
 """
--- a/hornbeamdeck/demo/client.py
+++ b/hornbeamdeck/demo/client.py
@@ -35,7 +35,8 @@
 
     :param status: HTTP status; 0 if the connection broke or the client timeout
         passed.
-    :param code: the `code` header, or why no response was received.
+    :param code: why no response was received; otherwise the `code` header of
+        the response, empty without one.
     :param is_complete: whether the response is exactly the expected one.
     :param first_token_ms: milliseconds from the start of the call to the first
         token; 0 if none was received.
@@ -84,7 +85,7 @@
         )
     except TaskTimeout:
         response = _failed_response('client timeout')
-    return _make_record(entry, number, response, start_ms)
+    return _make_result(entry, number, response, start_ms)
 
 
 async def _async_exchange(request: HttpRequest, address: Address) -> _Response:
@@ -165,7 +166,7 @@
     )
 
 
-def _make_record(
+def _make_result(
     entry: TraceEntry,
     number: int,
     response: _Response,
--- a/hornbeamdeck/demo/fleet.py
+++ b/hornbeamdeck/demo/fleet.py
@@ -96,7 +96,7 @@
         engines: list[Address],
         booking_address: Address,
     ) -> None:
-        """Store a configuration document with the given upstreams.
+        """Write a configuration document with the given upstreams.
 
         :param engines: addresses of the engines.
         :param booking_address: address of the booking service.
@@ -110,7 +110,7 @@
         await self.async_put_configuration(json.dumps(document))
 
     async def async_put_configuration(self, document: str) -> None:
-        """Store a configuration document in the platform.
+        """Write a configuration document to the store.
 
         :raises RuntimeError: if the document was not written.
         """
@@ -138,7 +138,7 @@
         """Start an instance and add it to the fleet.
 
         :param seed_peers: peers that the instance requests a snapshot from
-            while the platform is down.
+            while the store is unavailable.
         """
         settings = Settings.from_config(
             {
--- a/hornbeamdeck/demo/replay.py
+++ b/hornbeamdeck/demo/replay.py
@@ -13,23 +13,23 @@
 
 __all__ = ('async_replay_trace',)
 
-OnRecord: TypeAlias = Callable[[CallResult], None]
+OnResult: TypeAlias = Callable[[CallResult], None]
 
 
 async def async_replay_trace(
     trace: Sequence[TraceEntry],
     addresses: Sequence[Address],
-    on_record: OnRecord,
+    on_result: OnResult,
 ) -> None:
     """Send each call at its time in the trace, round robin over addresses.
 
-    :param on_record: called with the result of each call.
+    :param on_result: called with the result of each call.
     """
     start_ms = now_ms()
 
     async def _async_send_entry(number: int, entry: TraceEntry) -> None:
         address = addresses[number % len(addresses)]
-        on_record(await async_call(entry, number, address))
+        on_result(await async_call(entry, number, address))
 
     async with TaskGroup() as calls:
         for number, entry in enumerate(trace):
--- a/hornbeamdeck/platform/dialect.py
+++ b/hornbeamdeck/platform/dialect.py
@@ -163,9 +163,9 @@
 
 
 def _status_for_caller(failure: Failure) -> int:
-    # Callers of the platform read 422 as the response of an engine. Here it is
-    # a final refusal, which promises that the request never runs, so that they
-    # get 503 instead.
+    # Callers of the platform take 422 for the response of an engine. Here it is
+    # a final refusal, which promises that the request never runs, and is sent
+    # as 503 instead.
     if failure.status == HTTPStatus.UNPROCESSABLE_ENTITY:
         return HTTPStatus.SERVICE_UNAVAILABLE
     return failure.status
--- a/hornbeamdeck/standin/http_server.py
+++ b/hornbeamdeck/standin/http_server.py
@@ -17,9 +17,14 @@
 from hornbeamdeck.connection.server import ServerConnection
 from hornbeamdeck.const import ENCODING
 
-__all__ = ('Route', 'async_setup_http_server', 'json_response', 'make_handler')
+__all__ = (
+    'Responder',
+    'async_setup_http_server',
+    'json_response',
+    'make_handler',
+)
 
-Route: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
+Responder: TypeAlias = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 def json_response(status: int, body: Any) -> HttpResponse:
@@ -28,14 +33,14 @@
     return HttpResponse(status, headers, json.dumps(body).encode(ENCODING))
 
 
-def make_handler(route: Route) -> RequestHandler:
-    """Build a request handler from a function that returns a response."""
+def make_handler(respond: Responder) -> RequestHandler:
+    """Build a request handler from a function that returns the response."""
 
     async def _async_handle(
         request: HttpRequest,
         connection: ServerConnection,
     ) -> None:
-        await connection.async_respond(await route(request))
+        await connection.async_respond(await respond(request))
 
     return _async_handle
 
--- a/hornbeamdeck/version/const.py
+++ b/hornbeamdeck/version/const.py
@@ -1,4 +1,4 @@
-"""Fields of the configuration document."""
+"""Fields of the configuration document, their defaults and values."""
 
 from typing import Final
 
--- a/hornbeamdeck/version/cross_check.py
+++ b/hornbeamdeck/version/cross_check.py
@@ -68,9 +68,9 @@
             team[CONF_SERVICES],
             services,
         )
-    for position, upstream in enumerate(checked[CONF_UPSTREAMS]):
+    for index, upstream in enumerate(checked[CONF_UPSTREAMS]):
         yield from _check_defined(
-            f'upstreams.{position}.service',
+            f'upstreams.{index}.service',
             [upstream[CONF_SERVICE]],
             services,
         )
--- a/hornbeamdeck/version/gateway.py
+++ b/hornbeamdeck/version/gateway.py
@@ -20,10 +20,10 @@
 )
 
 # Limits for one caller until a configuration sets others.
-DEFAULT_HEADER_BYTES: Final = 16_384
-DEFAULT_BODY_BYTES: Final = 4_194_304
-DEFAULT_HEADER_MS: Final = 3000
-DEFAULT_IDLE_MS: Final = 15_000
+DEFAULT_MAX_HEADER_BYTES: Final = 16_384
+DEFAULT_MAX_BODY_BYTES: Final = 4_194_304
+DEFAULT_HEADER_TIMEOUT_MS: Final = 3000
+DEFAULT_IDLE_TIMEOUT_MS: Final = 15_000
 
 
 class RouteKind(enum.StrEnum):
@@ -132,10 +132,10 @@
 class CallerLimits(NamedTuple):
     """Limits on the requests of one caller."""
 
-    max_header_bytes: int = DEFAULT_HEADER_BYTES
-    max_body_bytes: int = DEFAULT_BODY_BYTES
-    header_timeout_ms: int = DEFAULT_HEADER_MS
-    idle_timeout_ms: int = DEFAULT_IDLE_MS
+    max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
+    header_timeout_ms: int = DEFAULT_HEADER_TIMEOUT_MS
+    idle_timeout_ms: int = DEFAULT_IDLE_TIMEOUT_MS
 
 
 class GatewayConfiguration(NamedTuple):
--- a/hornbeamdeck/wire/codec.py
+++ b/hornbeamdeck/wire/codec.py
@@ -56,7 +56,7 @@
     RecursionError,
     struct.error,
 )
-LENGTH: Final = struct.Struct('>I')
+LENGTH_PREFIX: Final = struct.Struct('>I')
 
 ToOwner: TypeAlias = (
     Enqueue | Withdraw | Register | Progress | Release | Suspect
@@ -120,7 +120,7 @@
     buffer = TMemoryBuffer()
     envelope.write(TBinaryProtocolAccelerated(buffer))
     encoded: bytes = buffer.getvalue()
-    return LENGTH.pack(len(encoded)) + encoded
+    return LENGTH_PREFIX.pack(len(encoded)) + encoded
 
 
 def decode_frame(encoded: bytes) -> Result[Envelope, MalformedFrame]:
--- a/tests/connection/test_connection_pool.py
+++ b/tests/connection/test_connection_pool.py
@@ -42,7 +42,7 @@
     return curio.run(pool.async_acquire, 'e1')
 
 
-def test_last_used_connection_is_taken_first() -> None:
+def test_last_used_connection_is_acquired_first() -> None:
     pool = ConnectionPool(lambda: 1)
     older, newer = _FakeConnection(), _FakeConnection()
     _release(pool, older, newer)
--- a/tests/connection/test_engine_stream.py
+++ b/tests/connection/test_engine_stream.py
@@ -16,10 +16,12 @@
 
 
 @on_fleet(PLAN)
-async def test_broken_stream_is_resumed_on_the_same_run(fleet: Fleet) -> None:
-    """Guards against lost or repeated output and a second run when a switch
-    between instances and engines restarts during six responses. The engine
-    continues its runs, and each caller receives the complete response.
+async def test_broken_stream_is_resumed_without_a_second_run(
+    fleet: Fleet,
+) -> None:
+    """Guards against lost or repeated output and a second run when a network
+    switch between instances and engines restarts during six responses. The
+    engine continues its runs, and each caller receives the complete response.
     """
     engine = fleet.engines[0]
     async with TaskGroup() as calls:
--- a/tests/connection/test_slow_callers.py
+++ b/tests/connection/test_slow_callers.py
@@ -2,7 +2,7 @@
 
 from curio import socket, spawn
 
-from hornbeamdeck.connection.errors import BadRequest, PeerClosed
+from hornbeamdeck.connection.errors import BadRequest, CallerClosed
 from hornbeamdeck.connection.reader import ReadLimits
 from hornbeamdeck.connection.server import ServerConnection
 from tests.support import curio_test
@@ -32,7 +32,7 @@
 
 @curio_test
 async def test_idle_connection_times_out() -> None:
-    assert await _async_read(b'') == PeerClosed()
+    assert await _async_read(b'') == CallerClosed()
 
 
 @curio_test
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -139,7 +139,7 @@
 
 
 def test_damaged_lines_are_counted() -> None:
-    """Guards against losing a log over a truncated or mixed line.
+    """Guards against a log made unreadable by a truncated or mixed line.
 
     A process is killed while it writes a line, or two processes write into one
     line.
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -80,7 +80,7 @@
     """Guards against callers that set headers reserved for the gateway.
 
     Such headers reserve memory or name another team. If they were passed on,
-    an engine would take them for headers of the gateway.
+    an engine would treat them as headers of the gateway.
     """
     decoded = _decoded(
         hornbeamdeck_tenant='somebody',
--- a/tests/platform/test_engine_faults.py
+++ b/tests/platform/test_engine_faults.py
@@ -165,7 +165,7 @@
 ) -> None:
     """Guards against running a request on the wrong engine.
 
-    An engine is gone and an engine of another service has its address. That
+    An engine has stopped, and one of another service has its address. This
     engine rejects the request as misdirected, and the request is sent to
     another engine.
     """
@@ -228,9 +228,9 @@
 ) -> None:
     """Guards against learning a wrong effect of prompts on streams.
 
-    A stream breaks and is resumed on another engine after a gap. If this gap
-    were attributed to the reading of prompts, the scheduler would keep long
-    prompts off engines.
+    A stream breaks and is resumed on another engine after a gap. If the gap
+    were attributed to the prefill of prompts, the scheduler would stop sending
+    long prompts to engines.
     """
     gaps_ms = []
     learn_gap = EngineLoad.learn_gap
--- a/tests/platform/test_fleet_faults.py
+++ b/tests/platform/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Tests of responses to callers when instances die or shut down."""
+"""Tests of responses to callers when instances are killed or shut down."""
 
 from curio import sleep, spawn
 
@@ -15,13 +15,13 @@
 
 
 @on_platform(3)
-async def test_next_owner_takes_over_when_owner_dies(
+async def test_next_owner_takes_over_when_owner_is_killed(
     fleet: PlatformFleet,
 ) -> None:
-    """Guards against an outage when the owner dies.
+    """Guards against an outage when the owner is killed.
 
-    The instance that grants all requests dies. The next owner must grant the
-    requests of the other instances, and none of them may run twice.
+    The instance that grants all requests is killed. The next owner must grant
+    the requests of the other instances, and none of them may run twice.
     """
     owner = _owner(fleet)
     await fleet.gateways[owner].async_kill()
@@ -79,8 +79,8 @@
 ) -> None:
     """Guards against a reset of token limits when the owner changes.
 
-    A team has spent its limit when the owner dies. If its spending were lost,
-    each new owner would let the team spend the whole limit again.
+    A team has spent its limit when the owner is killed. If its spending were
+    lost, each new owner would let the team spend the whole limit again.
     """
     limited_team = {**document()['tenants'][0], 'rate_per_s': 100}
     version = await fleet.store.async_put(
--- a/tests/platform/test_store_faults.py
+++ b/tests/platform/test_store_faults.py
@@ -50,7 +50,7 @@
 async def test_instance_without_store_gets_revocation_from_peers(
     fleet: PlatformFleet,
 ) -> None:
-    """Guards against accepting a revoked key on instances without the store.
+    """Guards against accepting a revoked key where the store is unreachable.
 
     The store serves only some of the instances. A revoked key must be refused
     by all of them, and no caller may be refused unnecessarily.
@@ -110,7 +110,7 @@
     """Guards against refusing all requests after an outage of the store.
 
     Engines can't renew their entries during the outage. After it, the store
-    lists none of them, though all are alive and register again within two
+    lists none of them, although all run and register again within two
     seconds. Without the previous list every request would be refused meanwhile.
     """
     fleet.store.is_silent = True
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -13,7 +13,7 @@
     encode_frame,
     message_of,
 )
-from hornbeamdeck.wire.codec import LENGTH
+from hornbeamdeck.wire.codec import LENGTH_PREFIX
 
 NUMBERS = st.integers(min_value=0, max_value=2**31 - 1)
 
@@ -34,7 +34,7 @@
         fingerprint=name,
     )
     frame = encode_frame(sent, configuration_version=version)
-    envelope = decode_frame(frame[LENGTH.size :]).unwrap()
+    envelope = decode_frame(frame[LENGTH_PREFIX.size :]).unwrap()
     assert message_of(envelope) == sent
     assert envelope.configuration_version == version
 
@@ -59,7 +59,7 @@
         end=RunEnd.ANSWERED,
         total_ms=12,
     )
-    frame = bytearray(encode_frame(sent)[LENGTH.size :])
+    frame = bytearray(encode_frame(sent)[LENGTH_PREFIX.size :])
     position = drawn.draw(st.integers(0, len(frame) - 1))
     frame[position] = drawn.draw(st.integers(0, 255))
     cut = drawn.draw(st.integers(0, len(frame)))
@@ -69,4 +69,4 @@
 
 
 def test_length_field_is_four_bytes() -> None:
-    assert LENGTH.size == struct.calcsize('>I')
+    assert LENGTH_PREFIX.size == struct.calcsize('>I')
