--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -3,11 +3,12 @@
 python -m bench.ablate --name "kept connections" --checkout ../without-kept
 python -m bench.ablate --player PATH --plan plan.json --copies ../ablations
 
-The product has no switches for this. For each mechanism, `ablations.json` names
-the one text in the source code that activates it, and the replacement without
-it. With a plan, each day is played with all mechanisms and without each of
-them. The plan's format is that of `bench.pairs`, except that `before` is the
-checkout and `after` lists names of mechanisms, separated by commas.
+The product has no switches for this. For each mechanism, `ablations.json` holds
+the text in the source code that activates it, which occurs only once, and the
+text that replaces it to remove the mechanism. With a plan, each day is played
+with all mechanisms and without each of them. The plan's format is that of
+`bench.pairs`, except that `before` is the checkout and `after` lists names of
+mechanisms, separated by commas.
 """
 
 import itertools
--- a/bench/ablated_instance.py
+++ b/bench/ablated_instance.py
@@ -2,8 +2,8 @@
 
     python -m bench.ablated_instance claim serve --settings FILE
 
-It serves to show that each count of bench.faults rises when the mechanism that
-prevents it is missing.
+It shows that each count of violations in bench.faults rises when the mechanism
+that prevents them is missing.
 """
 
 import sys
@@ -45,13 +45,13 @@
     )
 
 
-def _without_draining() -> None:
+def _without_engine_draining() -> None:
     """Ignore which engines the platform lists as draining."""
     _patch(scheduler.Scheduler, 'update_draining', lambda *_args: None)
 
 
-def _without_drain() -> None:
-    """Stop immediately instead of draining."""
+def _without_graceful_shutdown() -> None:
+    """Stop an instance without waiting for its pending requests."""
 
     async def _async_stop(self: Any) -> int:
         pending = int(self._pending())
@@ -130,10 +130,10 @@
 MECHANISMS: Final[Mapping[str, Removal]] = MappingProxyType(
     {
         'claim': _without_claim,
-        'drain': _without_drain,
+        'drain': _without_graceful_shutdown,
         'end-mark': _without_end_mark,
         'isolation': _without_isolation,
-        'leaving': _without_draining,
+        'leaving': _without_engine_draining,
         'single-dispatch': _without_single_dispatch,
     },
 )
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -173,15 +173,15 @@
     return cell
 
 
-def _offer(cell: Cell, number: int) -> None:
+def _enqueue_request(cell: Cell, number: int) -> None:
     cell.enqueue(
         _make_request(number), sender='s', deliver=_async_discard, now=0
     )
 
 
-def _offer_many(cell: Cell) -> None:
+def _enqueue_extra_requests(cell: Cell) -> None:
     for number in EXTRA_REQUEST_NUMBERS:
-        _offer(cell, number)
+        _enqueue_request(cell, number)
 
 
 def _grant_waiting(cell: Cell) -> list[str]:
@@ -189,7 +189,7 @@
 
 
 def measure_decisions() -> list[Figures]:
-    """Measure the cost of one request, by queue length and upstreams."""
+    """Measure time and memory per request, by queue length and upstreams."""
     return [
         _measure_cell(waiting, upstreams)
         for waiting, upstreams in (
@@ -205,9 +205,9 @@
 def _measure_cell(waiting: int, upstreams: int) -> Figures:
     cell = _make_cell(upstreams)
     for number in range(waiting + 4 * upstreams):
-        _offer(cell, number)
+        _enqueue_request(cell, number)
     granted_ids = _grant_waiting(cell)
-    extra_bytes = _allocated_bytes(partial(_offer_many, cell))
+    extra_bytes = _allocated_bytes(partial(_enqueue_extra_requests, cell))
     for number in EXTRA_REQUEST_NUMBERS:
         cell.withdraw(f'{number:032x}')
     new_numbers = iter(range(10**7, 10**8))
@@ -227,7 +227,7 @@
             ),
             now=0,
         )
-        _offer(cell, next(new_numbers))
+        _enqueue_request(cell, next(new_numbers))
         granted_ids.extend(
             each.queued.request.request_id for each in cell.place_waiting(0)
         )
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -69,10 +69,10 @@
     with process_fleet(FAST_FLEET) as fleet:
         ingress = _pick_ingress(fleet)
         owner = fleet.instances[fleet.owner_of('desk')]
-        before = ingress.cpu_s(), owner.cpu_s()
+        before_s = ingress.cpu_s(), owner.cpu_s()
         calls = _run_workers(ingress.address, seconds, callers)
-        ingress_s = ingress.cpu_s() - before[0]
-        owner_s = owner.cpu_s() - before[1]
+        ingress_s = ingress.cpu_s() - before_s[0]
+        owner_s = owner.cpu_s() - before_s[1]
         resident_kib = ingress.resident_kib()
     _print(
         {
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -231,27 +231,29 @@
         await async_put_json(engine.address, SWITCHES, {'is_cut': True})
 
 
-async def _async_draining(scenario: Scenario) -> None:
+async def _async_leaving(scenario: Scenario) -> None:
     if scenario.is_engine_draining:
-        # Two at once would remove each other's entry from the list.
+        # Two at once would list the same engine: the first one to end would
+        # list it as live while the other still counts what the engine runs.
         return
     scenario.is_engine_draining = True
     engine = scenario.fleet.engines[0]
     platform = scenario.fleet.platform.address
-    listed = {str(engine.address): 'leaving'}
-    await async_put_json(platform, '/standin/instances', listed)
+    engine_states = {str(engine.address): 'leaving'}
+    await async_put_json(platform, '/standin/instances', engine_states)
     await curio.sleep(DRAINING_GRACE_S)
     before = await async_get_json(engine.address, RECORDS)
     await curio.sleep(3)
     after = await async_get_json(engine.address, RECORDS)
     scenario.sent_to_draining += len(after['runs']) - len(before['runs'])
-    listed[str(engine.address)] = 'live'
-    await async_put_json(platform, '/standin/instances', listed)
+    engine_states[str(engine.address)] = 'live'
+    await async_put_json(platform, '/standin/instances', engine_states)
     scenario.is_engine_draining = False
 
 
 Fault = Callable[[Scenario], Awaitable[None]]
 
+# The name of each function without its prefix is a key of `Counts.faults`.
 FAULTS: Final[tuple[Fault, ...]] = (
     _async_kill,
     _async_pause,
@@ -261,7 +263,7 @@
     _async_lost_answers,
     _async_engine_outage,
     _async_engine_cut,
-    _async_draining,
+    _async_leaving,
 )
 
 
@@ -329,7 +331,7 @@
     booked: dict[str, int],
 ) -> Counts:
     outcome_counts = Counter(record.outcome for record in scenario.records)
-    is_answered = [
+    answered = [
         any(record.is_complete for record in sent)
         for sent in scenario.records_by_key.values()
     ]
@@ -339,7 +341,7 @@
         not_run=outcome_counts['not_run'],
         unknown=outcome_counts['unknown'],
         bookings=len(scenario.records_by_key),
-        bookings_answered=sum(is_answered),
+        bookings_answered=sum(answered),
         faults=dict(scenario.faults),
         dispatched_twice=sum(count > 1 for count in runs.values()),
         run_twice=sum(count > 1 for count in booked.values()),
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -1,4 +1,7 @@
-"""Measures bookings answered during a platform outage, by kind of key.
+"""Measures the bookings that are answered during a platform outage.
+
+Half of them have an idempotency key that the caller chose, the others one that
+an instance issued.
 
 python -m bench.outage --json
 """
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -30,7 +30,7 @@
 
 
 class ProcessFleetPlan(NamedTuple):
-    """What to start; the fields mean the same as in the demo's fleet.
+    """What to start; all fields but `module` mean the same as in FleetPlan.
 
     :param module: the module that `python -m` runs as an instance, followed by
         its first arguments.
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -62,6 +62,8 @@
 MEAN_WEIGHT: Final = 0.6
 WORST_WINDOWS_WEIGHT: Final = 0.25
 WORST_KIND_WEIGHT: Final = 0.15
+# `score` contains the mean of the two windows of this length that earned the
+# smallest shares of their value.
 SCORE_WINDOW_MS: Final = 2000
 
 
@@ -160,9 +162,9 @@
     def _arrive(self, arrival: Arrival, number: int) -> None:
         attempt = _Attempt(arrival, number, self.now)
         self._attempts[attempt.request_id] = attempt
-        self._offer(attempt)
+        self._enqueue(attempt)
 
-    def _offer(self, attempt: _Attempt) -> None:
+    def _enqueue(self, attempt: _Attempt) -> None:
         refused = self._cell.enqueue(
             self._to_enqueue(attempt),
             sender='ingress',
@@ -240,7 +242,7 @@
             self.now + ENGINE_TO_OWNER_MS, partial(self._release, release)
         )
         self._schedule(
-            self.now + ENGINE_TO_OWNER_MS, partial(self._offer, attempt)
+            self.now + ENGINE_TO_OWNER_MS, partial(self._enqueue, attempt)
         )
 
     def _step(self, name: str) -> None:
@@ -428,14 +430,16 @@
     total = sum(offered.values())
     shares = {kind: earned[kind] / offered[kind] for kind in offered}
     shares |= _largest_shares(outcomes)
-    worst = sorted(gain / value for gain, value in windows.values())[:2]
+    worst_shares = sorted(gain / value for gain, value in windows.values())[:2]
     mean = sum(earned.values()) / total
-    score = MEAN_WEIGHT * mean + WORST_WINDOWS_WEIGHT * statistics.mean(worst)
+    score = MEAN_WEIGHT * mean + WORST_WINDOWS_WEIGHT * statistics.mean(
+        worst_shares
+    )
     score += WORST_KIND_WEIGHT * min(shares.values()) - cost / total
     return {
         'score': round(score, 4),
         'mean': round(mean, 4),
-        'worst': round(statistics.mean(worst), 4),
+        'worst': round(statistics.mean(worst_shares), 4),
         'cost': round(cost / total, 4),
         'shares': {kind: round(share, 3) for kind, share in shares.items()},
         'results': dict(sorted(results.items())),
--- a/bench/replay_engine.py
+++ b/bench/replay_engine.py
@@ -55,6 +55,8 @@
     def __init__(self, slowness: float, slots: int, chunk_tokens: int) -> None:
         """Create an idle engine.
 
+        :param slowness: the factor by which each step takes longer than the
+            constants above state.
         :param chunk_tokens: prompt tokens prefilled in one step at most.
         """
         self._slowness = slowness
@@ -109,9 +111,9 @@
             chunk = min(
                 budget_tokens, run.plan.prompt_tokens - run.prefilled_tokens
             )
-            pairs = chunk * (run.prefilled_tokens + chunk / 2) / MILLION
+            million_pairs = chunk * (run.prefilled_tokens + chunk / 2) / MILLION
             prefill_ms += chunk / PREFILL_TOKENS_PER_MS
-            prefill_ms += pairs * ATTENTION_MS_PER_MILLION_PAIRS
+            prefill_ms += million_pairs * ATTENTION_MS_PER_MILLION_PAIRS
             run.prefilled_tokens += chunk
             budget_tokens -= chunk
         return prefill_ms
--- a/bench/replay_load.py
+++ b/bench/replay_load.py
@@ -20,6 +20,7 @@
 # Prompt tokens that an engine prefills in one step at most, where a pattern
 # does not set them.
 DEFAULT_CHUNK_TOKENS: Final = 4096
+# Upper limit of a request's value, as a multiple of its kind's value.
 MAX_VALUE_FACTOR: Final = 4.0
 
 
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -1,4 +1,4 @@
-"""Calls an address continuously for a while and prints the number of calls.
+"""Calls an address continuously and counts the complete responses.
 
 python -m bench.worker 127.0.0.1:8080 --seconds 5 --callers 8
 """
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory platform without a network, for property tests."""
+"""In-memory object store without a network, for property tests."""
 
 from result import Err, Ok, Result
 
@@ -14,7 +14,7 @@
 
 
 class FakePlatform:
-    """A platform with conditional writes and simulated faults.
+    """The platform's object store with conditional writes and simulated faults.
 
     While `fault` is set, calls fail before (`down`) or after (`lost`) they take
     effect. Faults in `next_faults` apply to the next calls, one for each, and
@@ -22,7 +22,7 @@
     """
 
     def __init__(self) -> None:
-        """Create a platform without objects or faults."""
+        """Create a store without objects or faults."""
         self.stored: dict[str, StoredObject] = {}
         self.version = 0
         self.fault = ''
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -44,8 +44,8 @@
 async def test_concurrent_copies_of_booking_run_once(fleet: Fleet) -> None:
     """Guards against several bookings when a customer presses the button
     repeatedly and each copy reaches another instance while the first one is
-    still running. One booking is made, and the other copies are not reported
-    as run.
+    still running. One booking is made. Copies that arrive while it runs get
+    the outcome `unknown` and are not reported as run.
     """
     entry = booking_entry('broceliande-1')
     async with TaskGroup() as calls:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -10,7 +10,7 @@
 from hornbeamdeck.version.configuration import parse_document
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / 'examples'
-EXPECTED = {
+EXPECTED_OUTPUTS = {
     'claim.py': 'receipt 1 after 1 payment\n' * 2,
     'lease.py': (
         'first holds True\n'
@@ -25,7 +25,7 @@
 }
 
 
-@pytest.mark.parametrize('name', sorted(EXPECTED))
+@pytest.mark.parametrize('name', sorted(EXPECTED_OUTPUTS))
 def test_example_prints_the_documented_output(name: str) -> None:
     completed = subprocess.run(
         [sys.executable, EXAMPLES / name],
@@ -33,16 +33,18 @@
         text=True,
         check=True,
     )
-    assert completed.stdout == EXPECTED[name]
+    assert completed.stdout == EXPECTED_OUTPUTS[name]
 
 
 def test_every_example_is_run() -> None:
-    assert {each.name for each in EXAMPLES.glob('*.py')} == set(EXPECTED)
+    assert {each.name for each in EXAMPLES.glob('*.py')} == set(
+        EXPECTED_OUTPUTS
+    )
 
 
 def test_coordination_does_not_import_the_daemon() -> None:
-    """Guards against importing the whole daemon into a program that embeds
-    only the lease, with the daemon's memory and names.
+    """Guards against a program that embeds only the lease but imports the whole
+    daemon with it: its modules, names and memory use.
     """
     code = (
         'import sys, hornbeamdeck.coordination as c\n'
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""Steps of the feature tests, which replay traces on an embedded fleet."""
+"""Steps of the feature tests; they replay traces on an in-process fleet."""
 
 import json
 import pathlib
--- a/tests/test_hybrid_clock.py
+++ b/tests/test_hybrid_clock.py
@@ -1,4 +1,4 @@
-"""Stamps of processes whose wall clocks differ."""
+"""Tests of the stamps of processes whose wall clocks differ."""
 
 from functools import partial
 
@@ -7,6 +7,8 @@
 
 from hornbeamdeck.hybrid_clock import MAX_STAMP_LEAD_US, HybridClock
 
+# Each step: the sender, the receiver and by how many microseconds the sender's
+# wall clock jumps.
 STEPS = st.lists(
     st.tuples(
         st.integers(0, 2),
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -25,7 +25,7 @@
     'types',
     'typing',
 )
-WIRE_NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r'hornbeamdeck-(expect|token-counts|prompt-prefix|response-seal'
     r'|not-executed|kv-backup|pin-ms|tenant|hold)'
     r'|api_keys|kv-from|traffic_split|/v1/(objects|resolve|ready|report)',
@@ -38,7 +38,7 @@
         f'{path}: {match.group()}'
         for path in ROOT.rglob('*.py')
         if ADAPTER not in path.parents
-        for match in WIRE_NAMES.finditer(path.read_text())
+        for match in PLATFORM_NAMES.finditer(path.read_text())
     ]
     assert not matches
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests with real processes: a kill, a graceful shutdown, wrong settings."""
+"""Tests with real processes: a kill, a graceful shutdown, invalid settings."""
 
 import json
 import pathlib
