--- a/hornbeamdeck/process/membership.py
+++ b/hornbeamdeck/process/membership.py
@@ -24,6 +24,7 @@
 
 __all__ = ('InstanceStatus', 'Membership')
 
+# Status objects and the platform's instance list call this state `leaving`.
 STATE_DRAINING: Final = 'leaving'
 STATE_LIVE: Final = 'live'
 UNLISTED_GRACE_MS: Final = 10_000
--- a/hornbeamdeck/scheduling/engine_cell.py
+++ b/hornbeamdeck/scheduling/engine_cell.py
@@ -50,7 +50,7 @@
 # Minimum time between two checks for expired requests. It is a little shorter
 # than the scheduler's check interval (25 ms), so that each of the scheduler's
 # checks runs this one.
-EXPIRY_CHECK_INTERVAL_MS: Final = 20.0
+MIN_EXPIRY_CHECK_INTERVAL_MS: Final = 20.0
 
 
 class EngineCell:
@@ -137,7 +137,7 @@
         """
         if (
             not len(self._wait_queue)
-            or now - self._last_expiry_check_ms < EXPIRY_CHECK_INTERVAL_MS
+            or now - self._last_expiry_check_ms < MIN_EXPIRY_CHECK_INTERVAL_MS
         ):
             return
         self._last_expiry_check_ms = now
